--- a/bench/choice/main.ts
+++ b/bench/choice/main.ts
@@ -52,7 +52,7 @@
     }
   };
   targets.forEach(({ host }) => {
-    chains.learn(kRoute.name, host, { level: 0, inner: false, height: 0 });
+    chains.recordReport(kRoute.name, host, { level: 0, inner: false, height: 0 });
   });
   return {
     targets: size,
--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -19,7 +19,7 @@
   type GateContext,
   importanceIndex,
   KeySettler,
-  kOpeningOnTheWay,
+  kGateReopenPolicy,
   type OfferEnd,
   type Procedure,
   type Reply,
@@ -327,7 +327,7 @@
       gate,
       target: host.name,
       ledger,
-      below: new RootFilter(favour, kOpeningOnTheWay),
+      below: new RootFilter(favour, kGateReopenPolicy),
       seen: { add: () => true },
       decide: () => undefined,
     };
--- a/packages/core/src/admission/adaptiveLimit.ts
+++ b/packages/core/src/admission/adaptiveLimit.ts
@@ -15,48 +15,48 @@
 const kWindowMs = 200;
 const kMinSamples = 8;
 /** Share of the limit that must have run at once for a window to tell anything of the limit. */
-const kBusyShare = 0.8;
+const kMinUtilization = 0.8;
 /** Growth of own time over its baseline that starts a trial. */
-const kTolerance = 1.5;
+const kTrialStartGrowth = 1.5;
 /** Growth of own time over its baseline up to which the limit may still grow. */
-const kGrowthTolerance = 1.1;
-const kNarrow = 0.85;
+const kMaxGrowthToWiden = 1.1;
+const kNarrowFactor = 0.85;
 /** Share of own time that a trial must gain to be kept. */
-const kTrialGain = 0.1;
+const kMinTrialGain = 0.1;
 /** Windows over which a trial narrows the limit. */
 const kTrialWindows = 3;
 /** The limit grows to this multiple of the announced slots while evidence allows. */
-const kMaxGrowth = 1.5;
+const kMaxShare = 1.5;
 /** The limit may shrink to this share of the announced slots. */
 const kMinShare = 0.1;
 /** A cold target starts with this share of its limit, which grows with each window in which own time did not grow. */
 const kRampStart = 0.3;
 const kRampFactor = 1.6;
-const kRampTolerance = 1.2;
+const kMaxRampGrowth = 1.2;
 /** Time after which a target counts as warm in any case, in milliseconds. */
-const kRampMs = 5_000;
+const kMaxRampMs = 5_000;
 /** Factor by which the baseline may drift up in a window. */
 const kBaselineDrift = 1.01;
 
 interface Trial {
   windows: number;
-  limitBefore: number;
+  previousLimit: number;
   /** Own time that the trial has to bring down. */
-  reference: number;
+  referenceMs: number;
 }
 
 /** Adaptive concurrency limit of one target. */
 export class AdaptiveLimit {
   private _limit: number;
-  private _baseline = 0;
+  private _baselineMs = 0;
   private _trial: Trial | undefined;
   private _samples = 0;
-  private _sum = 0;
+  private _sumMs = 0;
   private _windowStart: number;
   private _ramp = kRampStart;
-  private _lastMean = 0;
-  private _peak = 0;
-  private _sheds = 0;
+  private _lastMeanMs = 0;
+  private _peakInFlight = 0;
+  private _targetSheds = 0;
 
   /**
    * @param _slots slots that the target announced
@@ -73,7 +73,7 @@
 
   /** Calls that may run at once as of `now`. */
   current(now: number): number {
-    const ramp = now - this._startedAt >= kRampMs ? 1 : this._ramp;
+    const ramp = now - this._startedAt >= kMaxRampMs ? 1 : this._ramp;
     return Math.max(1, Math.floor(this._limit * ramp));
   }
 
@@ -85,77 +85,77 @@
     this._slots = slots;
     this._limit = slots;
     this._trial = undefined;
-    this._baseline = 0;
+    this._baselineMs = 0;
   }
 
   /** Notes a call that ended. `ownMs` is its time without onward calls, `inFlight` the calls running with it. */
-  completed(ownMs: number, inFlight: number, now: number): void {
+  recordCompletion(selfMs: number, inFlight: number, now: number): void {
     this._samples++;
-    this._sum += ownMs;
-    this._peak = Math.max(this._peak, inFlight);
+    this._sumMs += selfMs;
+    this._peakInFlight = Math.max(this._peakInFlight, inFlight);
     if (now - this._windowStart >= kWindowMs && this._samples >= kMinSamples) {
       this._adjust(now);
     }
   }
 
   /** Notes that the target itself shed a call while `inFlight` ran: hard evidence that the limit is too wide. */
-  refused(inFlight: number): void {
-    this._sheds++;
-    if (this._sheds % kMinSamples === 1) {
-      this._limit = this._clamp(Math.min(this._limit, inFlight) * kNarrow);
+  recordTargetShed(inFlight: number): void {
+    this._targetSheds++;
+    if (this._targetSheds % kMinSamples === 1) {
+      this._limit = this._clamp(Math.min(this._limit, inFlight) * kNarrowFactor);
     }
   }
 
   private _adjust(now: number): void {
-    const mean = this._sum / this._samples;
-    const busy = this._peak >= this._limit * kBusyShare;
+    const meanMs = this._sumMs / this._samples;
+    const busy = this._peakInFlight >= this._limit * kMinUtilization;
     this._samples = 0;
-    this._sum = 0;
-    this._peak = 0;
+    this._sumMs = 0;
+    this._peakInFlight = 0;
     this._windowStart = now;
-    this._warm(mean);
-    this._baseline = this._baseline === 0 ? mean : Math.min(mean, this._baseline * kBaselineDrift);
+    this._updateRamp(meanMs);
+    this._baselineMs = this._baselineMs === 0 ? meanMs : Math.min(meanMs, this._baselineMs * kBaselineDrift);
     if (this._trial) {
-      this._judgeTrial(this._trial, mean);
-    } else if (busy && mean > this._baseline * kTolerance) {
-      this._trial = { windows: 0, limitBefore: this._limit, reference: mean };
-    } else if (busy && mean <= this._baseline * kGrowthTolerance) {
+      this._evaluateTrial(this._trial, meanMs);
+    } else if (busy && meanMs > this._baselineMs * kTrialStartGrowth) {
+      this._trial = { windows: 0, previousLimit: this._limit, referenceMs: meanMs };
+    } else if (busy && meanMs <= this._baselineMs * kMaxGrowthToWiden) {
       this._limit = this._clamp(this._limit + Math.max(1, Math.sqrt(this._limit) / 2));
     }
   }
 
-  private _warm(mean: number): void {
-    if (this._lastMean === 0 || mean <= this._lastMean * kRampTolerance) {
+  private _updateRamp(meanMs: number): void {
+    if (this._lastMeanMs === 0 || meanMs <= this._lastMeanMs * kMaxRampGrowth) {
       this._ramp = Math.min(1, this._ramp * kRampFactor);
     }
-    this._lastMean = mean;
+    this._lastMeanMs = meanMs;
   }
 
   /** The first window of a trial still holds calls from before; own time is compared from the second on. */
-  private _judgeTrial(trial: Trial, mean: number): void {
+  private _evaluateTrial(trial: Trial, meanMs: number): void {
     trial.windows++;
-    if (mean <= this._baseline * kTolerance) {
+    if (meanMs <= this._baselineMs * kTrialStartGrowth) {
       this._trial = undefined;
       return;
     }
     if (trial.windows === 1) {
-      trial.reference = mean;
+      trial.referenceMs = meanMs;
     }
     if (trial.windows <= kTrialWindows) {
-      this._limit = this._clamp(this._limit * kNarrow);
+      this._limit = this._clamp(this._limit * kNarrowFactor);
       return;
     }
-    if (mean < trial.reference * (1 - kTrialGain)) {
-      this._trial = { windows: 1, limitBefore: this._limit, reference: mean };
-      this._limit = this._clamp(this._limit * kNarrow);
+    if (meanMs < trial.referenceMs * (1 - kMinTrialGain)) {
+      this._trial = { windows: 1, previousLimit: this._limit, referenceMs: meanMs };
+      this._limit = this._clamp(this._limit * kNarrowFactor);
       return;
     }
-    this._limit = trial.limitBefore;
-    this._baseline = mean;
+    this._limit = trial.previousLimit;
+    this._baselineMs = meanMs;
     this._trial = undefined;
   }
 
   private _clamp(limit: number): number {
-    return Math.min(Math.max(limit, 1, this._slots * kMinShare), this._slots * kMaxGrowth);
+    return Math.min(Math.max(limit, 1, this._slots * kMinShare), this._slots * kMaxShare);
   }
 }
--- a/packages/core/src/admission/admissionLevel.ts
+++ b/packages/core/src/admission/admissionLevel.ts
@@ -15,12 +15,12 @@
 
 const kWindowMs = 100;
 /** Weight of the newest window in the arrival rates. */
-const kWeight = 0.3;
+const kRateWeight = 0.3;
 /** The same for a window that left slots free: what was before it no longer holds. */
-const kIdleWeight = 0.7;
+const kIdleRateWeight = 0.7;
 /** Queue delay that is aimed at, as a share of a call's mean time, and its least value in milliseconds. */
-const kDelayShare = 0.5;
-const kMinDelayMs = 10;
+const kDesiredDelayShare = 0.5;
+const kMinDesiredDelayMs = 10;
 /** By how much an empty or a long queue shifts what is let in. */
 const kGain = 0.3;
 /** Largest cut of the level in one window, as a share of what is let in. */
@@ -28,7 +28,7 @@
 /** Largest rise in one window, in ranks; it doubles while slots stay free. */
 const kMaxRise = { goodput: 16, recovery: 64 } as const;
 /** Least arrival rate that is assumed for a rank that is opened, in calls a window. */
-const kMinDensity = 0.01;
+const kMinRatePerRank = 0.01;
 
 /** What the gate tells at the end of a window. */
 export interface GateState {
@@ -39,19 +39,19 @@
   /** Calls that run at once when the target is full. */
   limit: number;
   /** Whether slots are free now. */
-  free: boolean;
+  hasFreeSlots: boolean;
 }
 
 /** Admission level of one gate. */
 export class AdmissionLevel {
   private _level = kOpenLevel;
-  private _rises = 0;
+  private _consecutiveRises = 0;
   /** Arrivals a window by rank, smoothed; and those of the present window. */
   private readonly _rates = new Float64Array(kOpenLevel);
   private readonly _counts = new Uint32Array(kOpenLevel);
   private _windowStart: number;
-  private _shed = 0;
-  private _idle = false;
+  private _shedCount = 0;
+  private _hadFreeSlots = false;
   private _arrivals = 0;
 
   /**
@@ -81,13 +81,13 @@
   }
 
   /** Notes that slots stayed free although calls came. */
-  idle(): void {
-    this._idle = true;
+  recordFreeSlots(): void {
+    this._hadFreeSlots = true;
   }
 
   /** Notes a call that was admitted and shed all the same. */
-  shed(): void {
-    this._shed++;
+  recordShed(): void {
+    this._shedCount++;
   }
 
   private _roll(now: number): void {
@@ -97,26 +97,26 @@
     }
     this._windowStart += windows * kWindowMs;
     this._adjust();
-    for (let quiet = Math.min(windows - 1, kOpenLevel); quiet > 0 && this._level < kOpenLevel; quiet--) {
-      this._idle = true;
+    for (let idleWindows = Math.min(windows - 1, kOpenLevel); idleWindows > 0 && this._level < kOpenLevel; idleWindows--) {
+      this._hadFreeSlots = true;
       this._adjust();
     }
   }
 
   private _adjust(): void {
-    this._idle ||= this._arrivals === 0 && this._state().free;
+    this._hadFreeSlots ||= this._arrivals === 0 && this._state().hasFreeSlots;
     this._smoothRates();
     const error = this._queueError();
     if (this._level < kOpenLevel || error < 0) {
-      this._moveTo(this._capacity() * (1 + kGain * error));
+      this._adjustTo(this._capacity() * (1 + kGain * error));
     }
-    this._shed = 0;
+    this._shedCount = 0;
     this._arrivals = 0;
-    this._idle = false;
+    this._hadFreeSlots = false;
   }
 
   private _smoothRates(): void {
-    const weight = this._idle ? kIdleWeight : kWeight;
+    const weight = this._hadFreeSlots ? kIdleRateWeight : kRateWeight;
     for (let rank = 0; rank < kOpenLevel; rank++) {
       const before = this._rates[rank] ?? 0;
       this._rates[rank] = before + ((this._counts[rank] ?? 0) - before) * weight;
@@ -126,15 +126,15 @@
 
   /** How much shorter (positive) or longer (negative) than wanted the queue is, from -1 to 1. */
   private _queueError(): number {
-    if (this._shed > 0) {
+    if (this._shedCount > 0) {
       return -1;
     }
-    if (this._idle) {
+    if (this._hadFreeSlots) {
       return 1;
     }
     const { delayMs, meanMs } = this._state();
-    const wantedMs = Math.max(kMinDelayMs, meanMs * kDelayShare);
-    return Math.max(-1, Math.min(1, (wantedMs - delayMs) / wantedMs));
+    const desiredMs = Math.max(kMinDesiredDelayMs, meanMs * kDesiredDelayShare);
+    return Math.max(-1, Math.min(1, (desiredMs - delayMs) / desiredMs));
   }
 
   /** Calls that the target ends in a window when it is full. */
@@ -144,37 +144,37 @@
   }
 
   /** Moves the level so that `wanted` calls a window are let in. */
-  private _moveTo(wanted: number): void {
+  private _adjustTo(desiredRate: number): void {
     const admitted = this._ratesBelow(0, this._level);
-    if (admitted > wanted) {
-      this._rises = 0;
-      this._cutTo(Math.max(wanted, admitted * (1 - kMaxCut)));
+    if (admitted > desiredRate) {
+      this._consecutiveRises = 0;
+      this._lowerTo(Math.max(desiredRate, admitted * (1 - kMaxCut)));
     } else {
-      this._riseBy(wanted - admitted);
+      this._raiseBy(desiredRate - admitted);
     }
   }
 
-  private _cutTo(wanted: number): void {
-    let below = 0;
+  private _lowerTo(desiredRate: number): void {
+    let rateBelow = 0;
     for (let rank = 0; rank < this._level; rank++) {
-      below += this._rates[rank] ?? 0;
-      if (below > wanted) {
+      rateBelow += this._rates[rank] ?? 0;
+      if (rateBelow > desiredRate) {
         this._level = Math.max(1, rank);
         return;
       }
     }
   }
 
-  private _riseBy(missing: number): void {
+  private _raiseBy(additionalRate: number): void {
     const from = Math.max(0, this._level - kCohorts);
-    const density = Math.max(kMinDensity, this._ratesBelow(from, this._level) / Math.max(1, this._level - from));
-    this._rises = this._idle ? this._rises + 1 : 0;
-    const highest = Math.min(kOpenLevel, this._level + kMaxRise[this._favour()] * 2 ** Math.min(this._rises, 5));
-    let opened = 0;
-    while (this._level < highest && opened < missing) {
-      const rate = Math.max(this._rates[this._level] ?? 0, density);
+    const ratePerRank = Math.max(kMinRatePerRank, this._ratesBelow(from, this._level) / Math.max(1, this._level - from));
+    this._consecutiveRises = this._hadFreeSlots ? this._consecutiveRises + 1 : 0;
+    const highest = Math.min(kOpenLevel, this._level + kMaxRise[this._favour()] * 2 ** Math.min(this._consecutiveRises, 5));
+    let addedRate = 0;
+    while (this._level < highest && addedRate < additionalRate) {
+      const rate = Math.max(this._rates[this._level] ?? 0, ratePerRank);
       this._rates[this._level] = rate;
-      opened += rate;
+      addedRate += rate;
       this._level++;
     }
   }
--- a/packages/core/src/admission/admissionQueue.ts
+++ b/packages/core/src/admission/admissionQueue.ts
@@ -11,7 +11,7 @@
  */
 
 /** What the queue must know of a call. */
-export interface Queued {
+export interface QueuedCall {
   id: string;
   rank: number;
   /** Calls made on the way here: the work that would be wasted. */
@@ -22,7 +22,7 @@
 }
 
 /** Priority queue of one gate. */
-export class AdmissionQueue<T extends Queued> {
+export class AdmissionQueue<T extends QueuedCall> {
   /** Sorted, the next call to start last. */
   private readonly _calls: T[] = [];
 
@@ -32,7 +32,7 @@
   }
 
   /** Waiting calls that would start before a call of this rank. */
-  ahead(call: Queued): number {
+  countAhead(call: QueuedCall): number {
     return this._calls.length - this._position(call, false);
   }
 
@@ -42,17 +42,17 @@
   }
 
   /** Takes the most important call. */
-  takeFirst(): T | undefined {
+  takeMostImportant(): T | undefined {
     return this._calls.pop();
   }
 
   /** The least important call. */
-  last(): T | undefined {
+  leastImportant(): T | undefined {
     return this._calls[0];
   }
 
   /** Takes the least important call. */
-  takeLast(): T | undefined {
+  takeLeastImportant(): T | undefined {
     return this._calls.shift();
   }
 
@@ -71,7 +71,7 @@
     return this._calls.splice(0);
   }
 
-  private _position(call: Queued, newestFirst: boolean): number {
+  private _position(call: QueuedCall, newestFirst: boolean): number {
     let low = 0;
     let high = this._calls.length;
     while (low < high) {
@@ -88,7 +88,7 @@
 }
 
 /** Whether `waiting` starts after `call`. */
-function startsAfter(waiting: Queued, call: Queued, newestFirst: boolean): boolean {
+function startsAfter(waiting: QueuedCall, call: QueuedCall, newestFirst: boolean): boolean {
   if (waiting.rank !== call.rank) {
     return waiting.rank > call.rank;
   }
--- a/packages/core/src/admission/callRatios.ts
+++ b/packages/core/src/admission/callRatios.ts
@@ -9,69 +9,69 @@
  */
 
 /** Weight that older samples keep with each new one: evidence fades over some hundred samples. */
-const kKept = 0.995;
+const kSampleDecay = 0.995;
 /** Rounds of coordinate descent when the ratios are solved; more change nothing visible for a handful of routes. */
-const kRounds = 25;
+const kDescentRounds = 25;
 /** Ratio below which a route is taken not to make the call: noise of the fit, measured on streams of independent routes. */
-const kLeastRatio = 0.25;
+const kMinRatio = 0.25;
 /** Runs of a route that must have been seen before its ratios count. */
-const kLeastRuns = 30;
+const kMinRuns = 30;
 /** Runs and samples after which a route's ratios are taken as known, also that there are none. */
-const kSettledRuns = 100;
-const kSettledSamples = 25;
+const kMinRunsToEstimate = 100;
+const kMinSamplesToEstimate = 25;
 
 /** Calls that follow runs on one host. */
 export class CallRatios {
   private _runs = new Map<string, number>();
   private _calls = new Map<string, number>();
-  private readonly _seen = new Map<string, number>();
+  private readonly _totalRuns = new Map<string, number>();
   private readonly _firstSample = new Map<string, number>();
   private _samples = 0;
   private readonly _runProducts = new Map<string, Map<string, number>>();
   private readonly _callProducts = new Map<string, Map<string, number>>();
   private _ratios = new Map<string, Map<string, number>>();
   /** Ratios that were learned before this start, or on another host. */
-  private readonly _recalled = new Map<string, ReadonlyMap<string, number>>();
+  private readonly _restored = new Map<string, ReadonlyMap<string, number>>();
 
   /** Takes what was learned before; it counts until as many runs were seen here. */
-  recall(route: string, calls: ReadonlyMap<string, number>): void {
-    this._recalled.set(route, calls);
+  restore(route: string, calls: ReadonlyMap<string, number>): void {
+    this._restored.set(route, calls);
   }
 
   /** Routes whose calls are known. */
-  known(): string[] {
-    return [...new Set([...this._seen.keys(), ...this._recalled.keys()])].filter((route) => this.settled(route));
+  estimatedRoutes(): string[] {
+    return [...new Set([...this._totalRuns.keys(), ...this._restored.keys()])].filter((route) => this.isEstimated(route));
   }
 
   /** Notes that a run of a route started. */
-  ran(route: string): void {
+  recordRun(route: string): void {
     add(this._runs, route, 1);
-    add(this._seen, route, 1);
+    add(this._totalRuns, route, 1);
   }
 
   /** Notes that a call on a route began on this host. */
-  called(route: string): void {
+  recordCall(route: string): void {
     add(this._calls, route, 1);
   }
 
   /** Closes the current sample. */
-  sample(): void {
+  closeSample(): void {
     this._samples++;
     for (const route of this._runs.keys()) {
       if (!this._firstSample.has(route)) {
         this._firstSample.set(route, this._samples);
       }
     }
-    fade(this._runProducts);
-    fade(this._callProducts);
+    decay(this._runProducts);
+    decay(this._callProducts);
     for (const [route, runs] of this._runs) {
-      const row = rowOf(this._runProducts, route);
+      const row = getOrCreateRow(this._runProducts, route);
       for (const [other, otherRuns] of this._runs) {
         add(row, other, runs * otherRuns);
       }
     }
     for (const [call, calls] of this._calls) {
-      const row = rowOf(this._callProducts, call);
+      const row = getOrCreateRow(this._callProducts, call);
       for (const [route, runs] of this._runs) {
         add(row, route, runs * calls);
       }
@@ -85,41 +85,42 @@
     this._ratios = new Map();
     for (const [call, products] of this._callProducts) {
       for (const [route, ratio] of this._solveFor(products)) {
-        if (ratio >= kLeastRatio && (this._seen.get(route) ?? 0) >= kLeastRuns) {
-          rowOf(this._ratios, route).set(call, ratio);
+        if (ratio >= kMinRatio && (this._totalRuns.get(route) ?? 0) >= kMinRuns) {
+          getOrCreateRow(this._ratios, route).set(call, ratio);
         }
       }
     }
   }
 
   /** Whether enough runs of a route were seen, over enough samples, to know its calls. */
-  settled(route: string): boolean {
-    return this._recalled.has(route) || this._settledHere(route);
+  isEstimated(route: string): boolean {
+    return this._restored.has(route) || this._isEstimatedLocally(route);
   }
 
-  private _settledHere(route: string): boolean {
+  private _isEstimatedLocally(route: string): boolean {
     return (
-      (this._seen.get(route) ?? 0) >= kSettledRuns && this._samples - (this._firstSample.get(route) ?? this._samples) >= kSettledSamples
+      (this._totalRuns.get(route) ?? 0) >= kMinRunsToEstimate &&
+      this._samples - (this._firstSample.get(route) ?? this._samples) >= kMinSamplesToEstimate
     );
   }
 
   /** Calls for one run of a route, by the route of the call. */
   callsOf(route: string): ReadonlyMap<string, number> {
-    const recalled = this._settledHere(route) ? undefined : this._recalled.get(route);
-    return recalled ?? this._ratios.get(route) ?? kNoCalls;
+    const restored = this._isEstimatedLocally(route) ? undefined : this._restored.get(route);
+    return restored ?? this._ratios.get(route) ?? kNoCalls;
   }
 
   /** Least squares without negative ratios, by coordinate descent. */
   private _solveFor(products: ReadonlyMap<string, number>): Map<string, number> {
     const ratios = new Map<string, number>();
-    for (let round = 0; round < kRounds; round++) {
+    for (let round = 0; round < kDescentRounds; round++) {
       for (const [route, row] of this._runProducts) {
-        const own = row.get(route) ?? 0;
-        let rest = products.get(route) ?? 0;
+        const diagonal = row.get(route) ?? 0;
+        let residual = products.get(route) ?? 0;
         for (const [other, product] of row) {
-          rest -= other === route ? 0 : product * (ratios.get(other) ?? 0);
+          residual -= other === route ? 0 : product * (ratios.get(other) ?? 0);
         }
-        ratios.set(route, own > 0 ? Math.max(0, rest / own) : 0);
+        ratios.set(route, diagonal > 0 ? Math.max(0, residual / diagonal) : 0);
       }
     }
     return ratios;
@@ -132,7 +133,7 @@
   counts.set(key, (counts.get(key) ?? 0) + by);
 }
 
-function rowOf(rows: Map<string, Map<string, number>>, key: string): Map<string, number> {
+function getOrCreateRow(rows: Map<string, Map<string, number>>, key: string): Map<string, number> {
   let row = rows.get(key);
   if (!row) {
     row = new Map();
@@ -141,10 +142,10 @@
   return row;
 }
 
-function fade(rows: Map<string, Map<string, number>>): void {
+function decay(rows: Map<string, Map<string, number>>): void {
   for (const row of rows.values()) {
     for (const [key, value] of row) {
-      row.set(key, value * kKept);
+      row.set(key, value * kSampleDecay);
     }
   }
 }
--- a/packages/core/src/admission/chainModel.ts
+++ b/packages/core/src/admission/chainModel.ts
@@ -10,25 +10,25 @@
  */
 
 import { monotonicMs } from '../util/clock.js';
-import { CallerMix } from './callerMix.js';
+import { InternalRouteDetector } from './internalRouteDetector.js';
 import { CallRatios } from './callRatios.js';
 import type { LearnedChains } from './learnedChains.js';
 
 /** Age up to which a host's level counts as it is, in milliseconds; the newest one is halved with each such time after. */
-const kFreshMs = 1_000;
+const kReportFreshMs = 1_000;
 /**
  * Time for which the level of a route is taken as it was worked out, in milliseconds, but for lower ones, which count at once: a
  * twentieth of the time in which a change of level shows at a gate. Each call and each answer asks for levels; looking through those
  * of 100 hosts takes 2.9 microseconds, this 0.2 (`bench:choice`, warm).
  */
-const kLevelMs = 50;
+const kLevelCacheMs = 50;
 /** How often samples are closed and ratios solved, in milliseconds. */
 const kSampleMs = 200;
 const kSolveMs = 1_000;
 /** Part of a level that each hop passes on: a loop that the fit made up dies out. */
-const kPassedOn = 0.98;
+const kLevelFactorPerHop = 0.98;
 /** Longest chain that is told apart. */
-const kMaxHeight = 64;
+const kMaxChainLength = 64;
 
 /** What a gate says of a route with each answer. */
 export interface RouteReport {
@@ -51,44 +51,44 @@
   /** Levels by the host that reported them. */
   levels: Map<string, HostLevel>;
   /** The level as it was last worked out. */
-  current: HostLevel;
+  cachedLevel: HostLevel;
 }
 
 /** Chains as one daemon knows them. */
 export class ChainModel {
-  private readonly _mix = new CallerMix();
+  private readonly _internalRoutes = new InternalRouteDetector();
   private readonly _ratios = new CallRatios();
   private readonly _routes = new Map<string, RouteState>();
   private _sampledAt = monotonicMs();
   private _solvedAt = monotonicMs();
 
   /** Notes a call that came to the gate of this host. */
-  arrived(route: string, callerService: string, keyed = false): void {
-    this._mix.note(route, callerService, keyed);
+  recordArrival(route: string, callerService: string, keyed = false): void {
+    this._internalRoutes.recordArrival(route, callerService, keyed);
   }
 
   /** Notes that the target of this host began a run. */
-  ran(route: string): void {
-    this._ratios.ran(route);
+  recordRun(route: string): void {
+    this._ratios.recordRun(route);
   }
 
   /** Notes a request that entered at this host; only calls of the target tell something of its runs. */
-  entered(route: string): void {
-    if (this.inner(route) === true) {
-      this._ratios.called(route);
+  recordEntry(route: string): void {
+    if (this.isInternal(route) === true) {
+      this._ratios.recordCall(route);
     }
   }
 
   /** Learns from an answer of a host's gate to a request that entered at this host. */
-  learn(route: string, host: string, report: RouteReport): void {
-    const known = this._of(route);
-    known.inner = report.inner ?? known.inner;
-    known.height = report.height;
+  recordReport(route: string, host: string, report: RouteReport): void {
+    const state = this._getOrCreateState(route);
+    state.inner = report.inner ?? state.inner;
+    state.height = report.height;
     const now = monotonicMs();
     // As it is: a gate's level is a sum over time already, and a mean here would add 0.2 s a hop to the time in which a step of the
     // level shows at the gate, beyond which the level swings.
-    known.levels.set(host, { level: report.level, at: now });
-    known.current.level = Math.min(known.current.level, report.level);
+    state.levels.set(host, { level: report.level, at: now });
+    state.cachedLevel.level = Math.min(state.cachedLevel.level, report.level);
   }
 
   /**
@@ -96,19 +96,19 @@
    * where there is room, and nobody is turned away while there is some.
    */
   level(route: string): number {
-    const known = this._routes.get(route);
-    if (!known) {
+    const state = this._routes.get(route);
+    if (!state) {
       return 0;
     }
     const now = monotonicMs();
-    if (now - known.current.at > kLevelMs) {
-      known.current = { level: this._workOutLevel(known, now), at: now };
+    if (now - state.cachedLevel.at > kLevelCacheMs) {
+      state.cachedLevel = { level: this._computeLevel(state, now), at: now };
     }
-    return known.current.level;
+    return state.cachedLevel.level;
   }
 
   /** Whether only targets call the route, as far as this daemon was told. */
-  inner(route: string): boolean | undefined {
+  isInternal(route: string): boolean | undefined {
     return this._routes.get(route)?.inner;
   }
 
@@ -117,14 +117,14 @@
     let level = gateLevel;
     let height = 0;
     for (const call of this._ratios.callsOf(route).keys()) {
-      level = Math.max(level, this.level(call) * kPassedOn);
-      height = Math.max(height, Math.min(kMaxHeight, 1 + (this._routes.get(call)?.height ?? 0)));
+      level = Math.max(level, this.level(call) * kLevelFactorPerHop);
+      height = Math.max(height, Math.min(kMaxChainLength, 1 + (this._routes.get(call)?.height ?? 0)));
     }
-    return { level, inner: this._mix.inner(route), height };
+    return { level, inner: this._internalRoutes.isInternal(route), height };
   }
 
   /** Sum over the calls that follow a run of a route, of a value for one call on the route of the call. */
-  sumBelow(route: string, valueOf: (call: string) => number): number {
+  sumDownstream(route: string, valueOf: (call: string) => number): number {
     let sum = 0;
     for (const [call, ratio] of this._ratios.callsOf(route)) {
       sum += ratio * valueOf(call);
@@ -133,8 +133,8 @@
   }
 
   /** Whether enough runs of a route were seen to know the chain below it. */
-  settled(route: string): boolean {
-    return this._ratios.settled(route);
+  isEstimated(route: string): boolean {
+    return this._ratios.isEstimated(route);
   }
 
   /**
@@ -142,24 +142,24 @@
    * next to nothing, until it has seen some seconds of load.
    */
   learned(): LearnedChains {
-    const calls = this._ratios.known().map((route) => [route, Object.fromEntries(this._ratios.callsOf(route))] as const);
-    return { calls: Object.fromEntries(calls), inner: this._mix.judged() };
+    const calls = this._ratios.estimatedRoutes().map((route) => [route, Object.fromEntries(this._ratios.callsOf(route))] as const);
+    return { calls: Object.fromEntries(calls), inner: this._internalRoutes.classifications() };
   }
 
   /** Takes what was learned before, or on another host of the service; what is seen here takes its place. */
-  recall({ calls, inner }: LearnedChains): void {
+  restore({ calls, inner }: LearnedChains): void {
     for (const [route, ratios] of Object.entries(calls)) {
-      this._ratios.recall(route, new Map(Object.entries(ratios)));
+      this._ratios.restore(route, new Map(Object.entries(ratios)));
     }
-    for (const [route, isInner] of Object.entries(inner)) {
-      this._mix.recall(route, isInner);
+    for (const [route, internal] of Object.entries(inner)) {
+      this._internalRoutes.restore(route, internal);
     }
   }
 
   /** Hears from other hosts which routes only targets call; answers to calls from here tell the same later. */
-  hear(inner: Readonly<Record<string, boolean>>): void {
-    for (const [route, isInner] of Object.entries(inner)) {
-      this._of(route).inner ??= isInner;
+  mergeInternalRoutes(inner: Readonly<Record<string, boolean>>): void {
+    for (const [route, internal] of Object.entries(inner)) {
+      this._getOrCreateState(route).inner ??= internal;
     }
   }
 
@@ -168,7 +168,7 @@
     const now = monotonicMs();
     if (now - this._sampledAt >= kSampleMs) {
       this._sampledAt = now;
-      this._ratios.sample();
+      this._ratios.closeSample();
     }
     if (now - this._solvedAt >= kSolveMs) {
       this._solvedAt = now;
@@ -176,27 +176,27 @@
     }
   }
 
-  private _workOutLevel(known: RouteState, now: number): number {
+  private _computeLevel(state: RouteState, now: number): number {
     let lowest: number | undefined;
     let newest: HostLevel = { level: 0, at: -Infinity };
-    for (const [host, heard] of known.levels) {
-      if (now - heard.at <= kFreshMs) {
-        lowest = Math.min(lowest ?? 1, heard.level);
-      } else if (heard.at >= newest.at) {
-        newest = heard;
+    for (const [host, reported] of state.levels) {
+      if (now - reported.at <= kReportFreshMs) {
+        lowest = Math.min(lowest ?? 1, reported.level);
+      } else if (reported.at >= newest.at) {
+        newest = reported;
       } else {
-        known.levels.delete(host);
+        state.levels.delete(host);
       }
     }
-    return lowest ?? newest.level * 0.5 ** ((now - newest.at) / kFreshMs);
+    return lowest ?? newest.level * 0.5 ** ((now - newest.at) / kReportFreshMs);
   }
 
-  private _of(route: string): RouteState {
-    let known = this._routes.get(route);
-    if (!known) {
-      known = { inner: undefined, height: 0, levels: new Map(), current: { level: 0, at: -Infinity } };
-      this._routes.set(route, known);
+  private _getOrCreateState(route: string): RouteState {
+    let state = this._routes.get(route);
+    if (!state) {
+      state = { inner: undefined, height: 0, levels: new Map(), cachedLevel: { level: 0, at: -Infinity } };
+      this._routes.set(route, state);
     }
-    return known;
+    return state;
   }
 }
--- a/packages/core/src/admission/gate.ts
+++ b/packages/core/src/admission/gate.ts
@@ -13,27 +13,27 @@
 import { monotonicMs } from '../util/clock.js';
 import { AdaptiveLimit } from './adaptiveLimit.js';
 import { AdmissionLevel, type GateState } from './admissionLevel.js';
-import { AdmissionQueue, type Queued } from './admissionQueue.js';
+import { AdmissionQueue, type QueuedCall } from './admissionQueue.js';
 import { kOpenLevel } from './rank.js';
 
 /** Longest queue, in calls. */
 const kMaxQueue = 2_048;
 /** Share of a call's remaining time that it may spend waiting here. */
-const kWaitShare = 0.5;
+const kMaxWaitShare = 0.5;
 /** Weight of the newest call in the mean time per call. */
 const kMeanWeight = 0.05;
 const kStandingQueueMs = 20;
 /** Share of the limit below which slots count as free. */
-const kBusyShare = 0.9;
+const kFreeBelowShare = 0.9;
 
 /** Fate of an offered call. */
 export type GateDecision = { kind: 'started' } | { kind: 'queued' } | { kind: 'refused'; reason: ErrorKind };
 
 /** How a started call ended. `totalMs` is its time at the target, `ownMs` the same without the time of onward calls. */
-export type GateEnd = { kind: 'completed'; totalMs: number; ownMs: number } | { kind: 'shed_by_target' } | { kind: 'not_run' };
+export type GateResult = { kind: 'completed'; totalMs: number; selfMs: number } | { kind: 'shed_by_target' } | { kind: 'not_run' };
 
 /** What a gate tells its surroundings. */
-export interface GateEvents<T extends Queued> {
+export interface GateEvents<T extends QueuedCall> {
   onStart(call: T): void;
   onShed(call: T, reason: ErrorKind): void;
 }
@@ -42,7 +42,7 @@
 export type ClosedReason = 'target_leaving' | 'stopping' | 'no_target';
 
 /** Gate of one target. */
-export class Gate<T extends Queued> {
+export class Gate<T extends QueuedCall> {
   private readonly _queue = new AdmissionQueue<T>();
   private readonly _running = new Map<string, T>();
   private readonly _level: AdmissionLevel;
@@ -92,7 +92,7 @@
   }
 
   /** A call that runs at the target. */
-  started(id: string): T | undefined {
+  runningCall(id: string): T | undefined {
     return this._running.get(id);
   }
 
@@ -135,14 +135,14 @@
   }
 
   /** Notes that a started call ended, and starts what waits. */
-  ended(id: string, end: GateEnd): void {
+  callEnded(id: string, result: GateResult): void {
     if (!this._running.has(id)) {
       return;
     }
     const now = monotonicMs();
     const inFlight = this._running.size;
     this._running.delete(id);
-    this._learn(end, inFlight, now);
+    this._recordResult(result, inFlight, now);
     this._startWaiting();
   }
 
@@ -157,19 +157,19 @@
       delayMs: (this._queue.size * this._meanMs) / limit,
       meanMs: this._meanMs,
       limit,
-      free: this._running.size < limit * kBusyShare,
+      hasFreeSlots: this._running.size < limit * kFreeBelowShare,
     };
   }
 
-  private _learn(end: GateEnd, inFlight: number, now: number): void {
-    switch (end.kind) {
+  private _recordResult(result: GateResult, inFlight: number, now: number): void {
+    switch (result.kind) {
       case 'completed':
-        this._limit.completed(end.ownMs, inFlight, now);
-        this._meanMs = this._meanMs === 0 ? end.totalMs : this._meanMs + (end.totalMs - this._meanMs) * kMeanWeight;
+        this._limit.recordCompletion(result.selfMs, inFlight, now);
+        this._meanMs = this._meanMs === 0 ? result.totalMs : this._meanMs + (result.totalMs - this._meanMs) * kMeanWeight;
         return;
       case 'shed_by_target':
-        this._limit.refused(inFlight);
-        this._level.shed();
+        this._limit.recordTargetShed(inFlight);
+        this._level.recordShed();
         return;
       case 'not_run':
         return;
@@ -178,37 +178,37 @@
 
   private _enqueue(call: T, now: number): GateDecision {
     if (!this._canWait(call, now)) {
-      this._level.shed();
+      this._level.recordShed();
       return { kind: 'refused', reason: 'overloaded' };
     }
     if (this._queue.size >= kMaxQueue) {
-      const last = this._queue.last();
+      const last = this._queue.leastImportant();
       if (!last || last.rank <= call.rank) {
-        this._level.shed();
+        this._level.recordShed();
         return { kind: 'refused', reason: 'overloaded' };
       }
-      this._queue.takeLast();
+      this._queue.takeLeastImportant();
       this._shed(last, 'overloaded');
     }
-    this._queue.add(call, this._standing(now));
+    this._queue.add(call, this._isQueueStanding(now));
     return { kind: 'queued' };
   }
 
   private _canWait(call: T, now: number): boolean {
-    const expectedMs = ((this._queue.ahead(call) + 1) * this._meanMs) / this._limit.current(now);
-    const spareMs = call.deadline - now - this._meanMs;
-    return expectedMs <= spareMs * kWaitShare;
+    const expectedMs = ((this._queue.countAhead(call) + 1) * this._meanMs) / this._limit.current(now);
+    const slackMs = call.deadline - now - this._meanMs;
+    return expectedMs <= slackMs * kMaxWaitShare;
   }
 
-  private _standing(now: number): boolean {
-    const last = this._queue.last();
+  private _isQueueStanding(now: number): boolean {
+    const last = this._queue.leastImportant();
     return last !== undefined && now - last.queuedAt > kStandingQueueMs;
   }
 
   private _startWaiting(): void {
     const now = monotonicMs();
     while (this._running.size < this._limit.current(now)) {
-      const call = this._queue.takeFirst();
+      const call = this._queue.takeMostImportant();
       if (!call) {
         return;
       }
@@ -223,13 +223,13 @@
 
   private _start(call: T, now: number): void {
     this._running.set(call.id, call);
-    if (this._running.size < this._limit.current(now) * kBusyShare) {
-      this._level.idle();
+    if (this._running.size < this._limit.current(now) * kFreeBelowShare) {
+      this._level.recordFreeSlots();
     }
   }
 
   private _shed(call: T, reason: ErrorKind): void {
-    this._level.shed();
+    this._level.recordShed();
     this._events.onShed(call, reason);
   }
 }
--- a/packages/core/src/admission/gateLevel.ts
+++ b/packages/core/src/admission/gateLevel.ts
@@ -11,11 +11,11 @@
  */
 
 /** Wait that is aimed at, as a share of the time that calls may wait. */
-const kAimedWaitShare = 0.25;
+const kDesiredWaitShare = 0.25;
 /** Weight of the wait, as a multiple of the aimed one, beside the excess of work. */
 const kWaitWeight = 0.05;
 /** Largest multiple of the aimed wait that counts. */
-const kMaxWait = 4;
+const kMaxWaitRatio = 4;
 /**
  * Change of the level a second for an excess of one, while the level is 0. A change shows at the gate after the time of a chain,
  * up to a second under load; twice this swings (`tests/admission`).
@@ -26,7 +26,7 @@
  * gain at all levels a gate that is asked for 2.2 times its work, and sees a step after 1.1 s, is kept 78% busy and refuses a
  * quarter; so it is 99% and refuses nothing.
  */
-const kLeastShare = 0.25;
+const kMinGainShare = 0.25;
 /** Largest excess that counts either way, so that a short rush doesn't close everything. */
 const kMaxExcess = 0.7;
 /**
@@ -35,22 +35,22 @@
  * with its level at 0. Busy slots are steered by their work alone: with this at all times, the same 18 s of a steady overload at 63 hosts
  * refused 0.155 of the requests in place of 0.121, and were worth 0.646 in place of 0.701 (one pair, played at once).
  */
-const kToleratedRefusals = 0.1;
+const kToleratedRefusalShare = 0.1;
 /** Work done, as a share of what the slots can do, below which they look idle. */
-const kIdleWork = 0.8;
+const kIdleWorkShare = 0.8;
 /** Time in which the weight of an arrival in that share is halved, in milliseconds, and the fewest arrivals that it is told from. */
 const kRefusalHalfLifeMs = 500;
-const kLeastArrivals = 5;
+const kMinArrivals = 5;
 /** Weight of the newest call in the mean time that calls may wait. */
-const kToleratedWeight = 0.02;
+const kAllowedWaitWeight = 0.02;
 
 /** Level of one gate: 0 turns nobody away, 1 everybody. */
 export class GateLevel {
   private _level = 0;
   private _workMs = 0;
-  private _toleratedMs = 0;
-  private _waitMs = 0;
-  private _doneMs = 0;
+  private _meanAllowedWaitMs = 0;
+  private _lastWaitMs = 0;
+  private _completedWorkMs = 0;
   private _arrivals = 0;
   private _refused = 0;
 
@@ -60,44 +60,44 @@
   }
 
   /** Notes a call that came; `toleratedMs` is the time that it may wait. */
-  came(toleratedMs: number): void {
+  recordArrival(allowedWaitMs: number): void {
     this._arrivals++;
-    this._toleratedMs += (toleratedMs - this._toleratedMs) * (this._toleratedMs === 0 ? 1 : kToleratedWeight);
+    this._meanAllowedWaitMs += (allowedWaitMs - this._meanAllowedWaitMs) * (this._meanAllowedWaitMs === 0 ? 1 : kAllowedWaitWeight);
   }
 
   /** Notes work that was done, in milliseconds of the whole gate: of a call, over the slots. */
-  work(ms: number): void {
+  recordWork(ms: number): void {
     this._workMs += ms;
-    this._doneMs += ms;
+    this._completedWorkMs += ms;
   }
 
-  /** Notes a call that the gate could not start; `ms` is the work that it would have been, as for {@link work}. */
-  refused(ms: number): void {
+  /** Notes a call that the gate could not start; `ms` is the work that it would have been, as for {@link recordWork}. */
+  recordRefusal(ms: number): void {
     this._refused++;
     this._workMs += ms;
   }
 
   /** Steers over the time since the last step; `waitMs` is the time that a call at the end of the queue would wait. */
   step(waitMs: number, elapsedMs: number): void {
-    const offered = (this._workMs + waitMs - this._waitMs) / elapsedMs;
-    const aimedMs = this._toleratedMs * kAimedWaitShare;
-    const wait = aimedMs > 0 ? Math.min(kMaxWait, waitMs / aimedMs) : 0;
-    const excess = offered - 1 + kWaitWeight * (wait - 1);
-    const bounded = Math.min(kMaxExcess, Math.max(-kMaxExcess, excess, this._refusalExcess(elapsedMs)));
-    const gain = kGain * Math.max(kLeastShare, 1 - this._level);
-    this._level = Math.min(1, Math.max(0, this._level + (gain * bounded * elapsedMs) / 1_000));
+    const offeredLoad = (this._workMs + waitMs - this._lastWaitMs) / elapsedMs;
+    const desiredWaitMs = this._meanAllowedWaitMs * kDesiredWaitShare;
+    const waitRatio = desiredWaitMs > 0 ? Math.min(kMaxWaitRatio, waitMs / desiredWaitMs) : 0;
+    const excess = offeredLoad - 1 + kWaitWeight * (waitRatio - 1);
+    const boundedExcess = Math.min(kMaxExcess, Math.max(-kMaxExcess, excess, this._refusalExcess(elapsedMs)));
+    const gain = kGain * Math.max(kMinGainShare, 1 - this._level);
+    this._level = Math.min(1, Math.max(0, this._level + (gain * boundedExcess * elapsedMs) / 1_000));
     this._workMs = 0;
-    this._waitMs = waitMs;
+    this._lastWaitMs = waitMs;
   }
 
   /** Share of lately refused arrivals beyond the tolerated one; `-Infinity` when there is none, or the slots are busy. */
   private _refusalExcess(elapsedMs: number): number {
-    const idle = this._doneMs < kIdleWork * elapsedMs;
-    const share = idle && this._arrivals >= kLeastArrivals ? this._refused / this._arrivals : 0;
-    this._doneMs = 0;
-    const retained = 0.5 ** (elapsedMs / kRefusalHalfLifeMs);
-    this._arrivals *= retained;
-    this._refused *= retained;
-    return share > kToleratedRefusals ? share - kToleratedRefusals : -Infinity;
+    const idle = this._completedWorkMs < kIdleWorkShare * elapsedMs;
+    const share = idle && this._arrivals >= kMinArrivals ? this._refused / this._arrivals : 0;
+    this._completedWorkMs = 0;
+    const decay = 0.5 ** (elapsedMs / kRefusalHalfLifeMs);
+    this._arrivals *= decay;
+    this._refused *= decay;
+    return share > kToleratedRefusalShare ? share - kToleratedRefusalShare : -Infinity;
   }
 }
--- a/packages/core/src/admission/callerMix.ts
+++ b/packages/core/src/admission/internalRouteDetector.ts
@@ -9,9 +9,9 @@
  */
 
 /** Arrivals on a route before it is judged: by then some request of a person would have come from any given service. */
-const kJudgedAfter = 60;
+const kMinArrivals = 60;
 /** Arrivals after which the counts are halved, so that a route whose use changes is judged anew. */
-const kHalveAt = 2_000;
+const kHalveAtArrivals = 2_000;
 
 interface RouteCallers {
   arrivals: number;
@@ -19,34 +19,34 @@
 }
 
 /** Who calls which route, as one gate sees it. */
-export class CallerMix {
+export class InternalRouteDetector {
   private readonly _routes = new Map<string, RouteCallers>();
-  private readonly _everyone = new Map<string, number>();
+  private readonly _allCallers = new Map<string, number>();
   /** Judgements from before this start, or of another host. */
-  private readonly _recalled = new Map<string, boolean>();
+  private readonly _restored = new Map<string, boolean>();
   /** Routes on which requests with keys came. */
-  private readonly _keyed = new Set<string>();
+  private readonly _keyedRoutes = new Set<string>();
 
   /** Takes an earlier judgement; it counts until there are enough arrivals here. */
-  recall(route: string, inner: boolean): void {
-    this._recalled.set(route, inner);
+  restore(route: string, internal: boolean): void {
+    this._restored.set(route, internal);
   }
 
   /** Judgements of all routes that could be judged. */
-  judged(): Record<string, boolean> {
-    const routes = new Set([...this._routes.keys(), ...this._recalled.keys()]);
+  classifications(): Record<string, boolean> {
+    const routes = new Set([...this._routes.keys(), ...this._restored.keys()]);
     return Object.fromEntries(
       [...routes].flatMap((route): [string, boolean][] => {
-        const inner = this.inner(route);
-        return inner === undefined ? [] : [[route, inner]];
+        const internal = this.isInternal(route);
+        return internal === undefined ? [] : [[route, internal]];
       }),
     );
   }
 
   /** Notes an arrival on a route from a host of a service; `keyed` when it carried a key, as only people's requests do. */
-  note(route: string, callerService: string, keyed = false): void {
+  recordArrival(route: string, callerService: string, keyed = false): void {
     if (keyed) {
-      this._keyed.add(route);
+      this._keyedRoutes.add(route);
     }
     let callers = this._routes.get(route);
     if (!callers) {
@@ -55,24 +55,24 @@
     }
     callers.arrivals++;
     add(callers.byService, callerService);
-    add(this._everyone, callerService);
-    if (callers.arrivals >= kHalveAt) {
+    add(this._allCallers, callerService);
+    if (callers.arrivals >= kHalveAtArrivals) {
       callers.arrivals /= 2;
       halve(callers.byService);
-      halve(this._everyone);
+      halve(this._allCallers);
     }
   }
 
   /** Whether only targets call the route; undefined while that isn't known. */
-  inner(route: string): boolean | undefined {
-    if (this._keyed.has(route)) {
+  isInternal(route: string): boolean | undefined {
+    if (this._keyedRoutes.has(route)) {
       return false;
     }
     const callers = this._routes.get(route);
-    if (!callers || callers.arrivals < kJudgedAfter) {
-      return this._recalled.get(route);
+    if (!callers || callers.arrivals < kMinArrivals) {
+      return this._restored.get(route);
     }
-    return callers.byService.size < this._everyone.size;
+    return callers.byService.size < this._allCallers.size;
   }
 }
 
--- a/packages/core/src/admission/levelReport.ts
+++ b/packages/core/src/admission/levelReport.ts
@@ -17,10 +17,10 @@
 }
 
 /** Report of a way that met no gate. */
-export const kAllOpen: LevelReport = { level: kOpenLevel, service: '' };
+export const kOpenReport: LevelReport = { level: kOpenLevel, service: '' };
 
 /** The tighter of two reports. */
-export function tighter(a: LevelReport, b: LevelReport): LevelReport {
+export function tighterReport(a: LevelReport, b: LevelReport): LevelReport {
   if (a.absent === true || b.absent === true) {
     return a.absent === true ? a : b;
   }
--- a/packages/core/src/admission/notRunReason.ts
+++ b/packages/core/src/admission/notRunReason.ts
@@ -14,7 +14,7 @@
  * Whether a call that has not run for this reason is work that the gate had no room for. The others say nothing of room: the gate was
  * not the one that was meant, has no target behind it, may not repeat, or its target refuses by itself, which fewer arrivals don't mend.
  */
-export function isWantOfRoom(reason: NotRunReason): boolean {
+export function isCapacityRefusal(reason: NotRunReason): boolean {
   switch (reason) {
     case 'overloaded':
     case 'wait_too_long':
--- a/packages/core/src/admission/rank.ts
+++ b/packages/core/src/admission/rank.ts
@@ -32,11 +32,11 @@
  * Ranks over the level up to which a call with work invested in it is admitted: it passed the level a moment ago, where
  * its request entered. The queue still starts the more important first.
  */
-const kInvestedSlack = kCohorts;
+const kInvestedWorkSlack = kCohorts;
 
 /** Whether a call passes a level; `depth` counts the calls made on the way to it. */
 export function passesLevel(rank: number, depth: number, level: number): boolean {
-  return rank < level + (depth > 0 ? kInvestedSlack : 0);
+  return rank < level + (depth > 0 ? kInvestedWorkSlack : 0);
 }
 
 /** Cohort of a root request, from a 32-bit hash of its id. */
--- a/packages/core/src/admission/rootAdmission.ts
+++ b/packages/core/src/admission/rootAdmission.ts
@@ -18,31 +18,31 @@
 /** Admission of people's requests at one daemon. */
 export class RootAdmission {
   /** Requests lately met by a level, by priority. */
-  private readonly _met = new Map<number, number>();
-  private _fadedAt = 0;
+  private readonly _weights = new Map<number, number>();
+  private _decayedAt = 0;
 
   /** Whether a request of a priority (0 is the most urgent) is let in; `draw` is uniform from 0 to 1, `now` in milliseconds. */
   admits(priority: number, level: number, draw: number, now: number): boolean {
     if (level <= 0) {
       return true;
     }
-    this._note(priority, now);
+    this._record(priority, now);
     let total = 0;
     let before = 0;
-    for (const [other, met] of this._met) {
-      total += met;
-      before += other < priority ? met : 0;
+    for (const [other, weight] of this._weights) {
+      total += weight;
+      before += other < priority ? weight : 0;
     }
-    const place = (before + draw * (this._met.get(priority) ?? 0)) / total;
-    return place < 1 - level;
+    const quantile = (before + draw * (this._weights.get(priority) ?? 0)) / total;
+    return quantile < 1 - level;
   }
 
-  private _note(priority: number, now: number): void {
-    const kept = 0.5 ** ((now - this._fadedAt) / kHalfLifeMs);
-    this._fadedAt = now;
-    for (const [other, met] of this._met) {
-      this._met.set(other, met * kept);
+  private _record(priority: number, now: number): void {
+    const decay = 0.5 ** ((now - this._decayedAt) / kHalfLifeMs);
+    this._decayedAt = now;
+    for (const [other, weight] of this._weights) {
+      this._weights.set(other, weight * decay);
     }
-    this._met.set(priority, (this._met.get(priority) ?? 0) + 1);
+    this._weights.set(priority, (this._weights.get(priority) ?? 0) + 1);
   }
 }
--- a/packages/core/src/admission/rootFilter.ts
+++ b/packages/core/src/admission/rootFilter.ts
@@ -15,19 +15,19 @@
 import { kOpenLevel } from './rank.js';
 
 /** Time over which a level follows the answers, in milliseconds. */
-const kFollowMs = 50;
+const kSmoothingMs = 50;
 /** How a level that nothing is heard of opens by itself. */
-export interface Opening {
+export interface ReopenPolicy {
   /** Time without any answer about a service after which its level begins to open, in milliseconds. */
-  quietMs: number;
+  idleMs: number;
   /** Ranks by which it then opens per millisecond. */
-  perMs: { goodput: number; recovery: number };
+  ranksPerMs: { goodput: number; recovery: number };
 }
 
 /** Where requests enter: what opens too early wastes the work of a whole chain. */
-export const kOpeningAtRoot: Opening = { quietMs: 500, perMs: { goodput: 0.1, recovery: 0.5 } };
+export const kRootReopenPolicy: ReopenPolicy = { idleMs: 500, ranksPerMs: { goodput: 0.1, recovery: 0.5 } };
 /** At a gate on the way: the root guards the chain, and a stale level here would tell it wrong. */
-export const kOpeningOnTheWay: Opening = { quietMs: 150, perMs: { goodput: 3, recovery: 3 } };
+export const kGateReopenPolicy: ReopenPolicy = { idleMs: 150, ranksPerMs: { goodput: 3, recovery: 3 } };
 
 interface ServiceLevel {
   level: number;
@@ -37,16 +37,16 @@
 /** Levels at one daemon. */
 export class RootFilter {
   private readonly _services = new Map<string, ServiceLevel>();
-  private readonly _narrowest = new Map<string, string>();
+  private readonly _restrictingServices = new Map<string, string>();
 
   constructor(
     private readonly _favour: () => 'goodput' | 'recovery',
-    private readonly _opening: Opening = kOpeningAtRoot,
+    private readonly _reopenPolicy: ReopenPolicy = kRootReopenPolicy,
   ) {}
 
   /** Level of a class as of `now`. */
   level(className: string, now: number): number {
-    return this._serviceLevel(this._narrowest.get(className) ?? '', now);
+    return this._serviceLevel(this._restrictingServices.get(className) ?? '', now);
   }
 
   /** Whether a root request may enter. */
@@ -55,31 +55,31 @@
   }
 
   /** Service that narrowed a class last, by its level or because it had no target. */
-  narrowest(className: string): string | undefined {
-    return this._narrowest.get(className);
+  restrictingService(className: string): string | undefined {
+    return this._restrictingServices.get(className);
   }
 
   /** Takes what the answer to a root request of a class brought back. */
-  learn(className: string, report: LevelReport, now: number): void {
+  update(className: string, report: LevelReport, now: number): void {
     if (report.service === '') {
       return;
     }
     if (report.absent === true) {
-      this._narrowest.set(className, report.service);
+      this._restrictingServices.set(className, report.service);
       return;
     }
     if (report.level < kOpenLevel) {
-      this._narrowest.set(className, report.service);
+      this._restrictingServices.set(className, report.service);
     }
-    this.learnService(report.service, report.level, now);
-    const narrowest = this._narrowest.get(className);
-    if (narrowest !== undefined && narrowest !== report.service) {
-      this.learnService(narrowest, kOpenLevel, now);
+    this.updateService(report.service, report.level, now);
+    const restricting = this._restrictingServices.get(className);
+    if (restricting !== undefined && restricting !== report.service) {
+      this.updateService(restricting, kOpenLevel, now);
     }
   }
 
   /** Takes the level of a service's gate, from any answer. */
-  learnService(service: string, level: number, now: number): void {
+  updateService(service: string, level: number, now: number): void {
     if (service === '') {
       return;
     }
@@ -89,7 +89,7 @@
       return;
     }
     const before = this._serviceLevel(service, now);
-    const weight = 1 - Math.exp(-Math.max(1, now - known.at) / kFollowMs);
+    const weight = 1 - Math.exp(-Math.max(1, now - known.at) / kSmoothingMs);
     known.level = before + (level - before) * weight;
     known.at = now;
   }
@@ -99,7 +99,7 @@
     if (!known) {
       return kOpenLevel;
     }
-    const quietMs = Math.max(0, now - known.at - this._opening.quietMs);
-    return Math.min(kOpenLevel, known.level + quietMs * this._opening.perMs[this._favour()]);
+    const reopeningMs = Math.max(0, now - known.at - this._reopenPolicy.idleMs);
+    return Math.min(kOpenLevel, known.level + reopeningMs * this._reopenPolicy.ranksPerMs[this._favour()]);
   }
 }
--- a/packages/core/src/admission/slotGate.ts
+++ b/packages/core/src/admission/slotGate.ts
@@ -13,13 +13,13 @@
 import { monotonicMs } from '../util/clock.js';
 
 /** Share of the slots that is used: some targets slow down when they are nearly full. */
-const kUsedSlots = 0.95;
+const kUsedSlotShare = 0.95;
 /** Weight of the newest run in the mean time per run. */
 const kMeanWeight = 0.05;
 /** Longest queue as a multiple of the slots; beyond it waiting can't help. */
 const kQueuePerSlot = 8;
 /** Shares of the slots that a target gets at first after its start, and after each second up to all. */
-const kColdShares = [0.5, 0.75] as const;
+const kColdSlotShares = [0.5, 0.75] as const;
 
 /** Why a gate refuses a call. None of these has run. */
 export type GateRefusal =
@@ -56,7 +56,7 @@
   private readonly _running = new Set<number>();
   private _slots = 0;
   /** Why nothing is taken; undefined while calls are. */
-  private _closedFor: GateRefusal | undefined = 'not_accepting';
+  private _closedReason: GateRefusal | undefined = 'not_accepting';
   private _meanMs = 0;
   private _warmFrom = 0;
 
@@ -78,7 +78,7 @@
 
   /** Calls that may run at once: no more than there are slots and connections for. */
   get limit(): number {
-    return Math.max(1, Math.min(Math.floor(this._slots * kUsedSlots * this._coldShare()), this._connections()));
+    return Math.max(1, Math.min(Math.floor(this._slots * kUsedSlotShare * this._coldShare()), this._connections()));
   }
 
   /** Mean time of a run, in milliseconds; 0 until one ended. */
@@ -90,13 +90,13 @@
   open(slots: number, warmFrom: number): void {
     this._slots = slots;
     this._warmFrom = warmFrom;
-    this._closedFor = undefined;
+    this._closedReason = undefined;
     this._startWaiting();
   }
 
   /** Takes no new calls, and refuses those that wait. What runs is left to end. */
   close(reason: GateRefusal = 'not_accepting'): void {
-    this._closedFor = reason;
+    this._closedReason = reason;
     for (const call of this._queue.splice(0)) {
       this._events.onRefuse(call, reason);
     }
@@ -104,20 +104,20 @@
 
   /** Decides on a call; `started` and `refused` are final, a queued call is reported later. */
   offer(call: T): { kind: 'started' } | { kind: 'queued' } | { kind: 'refused'; reason: GateRefusal } {
-    if (this._closedFor) {
-      return { kind: 'refused', reason: this._closedFor };
+    if (this._closedReason) {
+      return { kind: 'refused', reason: this._closedReason };
     }
     if (this._queue.length === 0 && this._running.size < this.limit) {
       this._running.add(call.id);
       return { kind: 'started' };
     }
     const now = monotonicMs();
-    const place = this._placeFor(call);
-    const waitMs = ((place + 1) * this._meanMs) / this.limit;
+    const position = this._positionFor(call);
+    const waitMs = ((position + 1) * this._meanMs) / this.limit;
     if (now + waitMs > call.waitUntil || this._queue.length >= this.limit * kQueuePerSlot) {
-      return this._displace(call, place, now);
+      return this._displace(call, position, now);
     }
-    this._queue.splice(place, 0, call);
+    this._queue.splice(position, 0, call);
     return { kind: 'queued' };
   }
 
@@ -125,20 +125,20 @@
    * Lets a call take the place of a less urgent one that waits before it, when it can start in time then: the less urgent is shed first,
    * also where it came first. Calls of targets give way to nobody, as the work above them would be lost.
    */
-  private _displace(call: T, place: number, now: number): { kind: 'queued' } | { kind: 'refused'; reason: GateRefusal } {
-    const startsAt = now + (place * this._meanMs) / this.limit;
-    const victim = startsAt > call.waitUntil ? undefined : this._leastUrgentBefore(place, call.rank ?? -1);
+  private _displace(call: T, position: number, now: number): { kind: 'queued' } | { kind: 'refused'; reason: GateRefusal } {
+    const startsAt = now + (position * this._meanMs) / this.limit;
+    const victim = startsAt > call.waitUntil ? undefined : this._findLeastUrgent(position, call.rank ?? -1);
     if (!victim) {
       return { kind: 'refused', reason: 'overloaded' };
     }
     this._queue.splice(this._queue.indexOf(victim), 1);
-    this._queue.splice(place - 1, 0, call);
+    this._queue.splice(position - 1, 0, call);
     this._events.onRefuse(victim, 'overloaded');
     return { kind: 'queued' };
   }
 
   /** The call of the largest rank above `rank` among the first `count` that wait. */
-  private _leastUrgentBefore(count: number, rank: number): T | undefined {
+  private _findLeastUrgent(count: number, rank: number): T | undefined {
     let least: T | undefined;
     for (const waiting of this._queue.slice(0, count)) {
       if (rank >= 0 && (waiting.rank ?? -1) > (least?.rank ?? rank)) {
@@ -149,7 +149,7 @@
   }
 
   /** Notes that a started call ended; `ranMs` is its time at the target, undefined when that tells nothing. */
-  ended(id: number, ranMs?: number): void {
+  callEnded(id: number, ranMs?: number): void {
     if (!this._running.delete(id)) {
       return;
     }
@@ -161,11 +161,11 @@
 
   /** Takes back a call that waits; false when it has started. */
   withdraw(call: T): boolean {
-    const at = this._queue.indexOf(call);
-    if (at < 0) {
+    const index = this._queue.indexOf(call);
+    if (index < 0) {
       return false;
     }
-    this._queue.splice(at, 1);
+    this._queue.splice(index, 1);
     return true;
   }
 
@@ -185,7 +185,7 @@
   }
 
   /** Place in the queue, behind all that have to start no later. */
-  private _placeFor(call: T): number {
+  private _positionFor(call: T): number {
     let low = 0;
     let high = this._queue.length;
     while (low < high) {
@@ -204,7 +204,7 @@
     if (coldMs <= 0) {
       return 1;
     }
-    return coldMs > 1_000 ? kColdShares[0] : kColdShares[1];
+    return coldMs > 1_000 ? kColdSlotShares[0] : kColdSlotShares[1];
   }
 
   private _startWaiting(): void {
--- a/packages/core/src/chain/retryLedger.ts
+++ b/packages/core/src/chain/retryLedger.ts
@@ -10,7 +10,7 @@
  * returns unspent comes back. So over a whole chain no more retries happen than the root was granted.
  */
 
-import { kAllOpen, type LevelReport, tighter } from '../admission/levelReport.js';
+import { kOpenReport, type LevelReport, tighterReport } from '../admission/levelReport.js';
 
 /** Share of an entry that one onward call takes along. */
 const kLentShare = 2 / 3;
@@ -50,7 +50,7 @@
   open(id: string, allowance: number): void {
     this._entries.set(id, {
       remaining: allowance,
-      level: kAllOpen,
+      level: kOpenReport,
       retriedBelow: false,
       onwardCalls: 0,
       openOnward: 0,
@@ -113,7 +113,7 @@
       return;
     }
     entry.remaining += end.unspent;
-    entry.level = tighter(entry.level, end.level);
+    entry.level = tighterReport(entry.level, end.level);
     entry.retriedBelow ||= end.final;
     entry.openOnward--;
     if (entry.openOnward === 0) {
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -9,7 +9,7 @@
 export * from './admission/admissionLevel.js';
 export * from './admission/admissionQueue.js';
 export * from './admission/callRatios.js';
-export * from './admission/callerMix.js';
+export * from './admission/internalRouteDetector.js';
 export * from './admission/chainModel.js';
 export * from './admission/gate.js';
 export * from './admission/gateLevel.js';
--- a/packages/core/src/procedures/gateCall.ts
+++ b/packages/core/src/procedures/gateCall.ts
@@ -6,9 +6,9 @@
 /** Takes an offered call through the gate of the target on this host. */
 
 import type { OfferTerms } from '@gentiandrum/protocol';
-import type { Queued } from '../admission/admissionQueue.js';
-import type { Gate, GateEnd } from '../admission/gate.js';
-import { kAllOpen, type LevelReport, tighter } from '../admission/levelReport.js';
+import type { QueuedCall } from '../admission/admissionQueue.js';
+import type { Gate, GateResult } from '../admission/gate.js';
+import { kOpenReport, type LevelReport, tighterReport } from '../admission/levelReport.js';
 import { passesLevel, rankOf } from '../admission/rank.js';
 import type { RootFilter } from '../admission/rootFilter.js';
 import type { LedgerSummary, RetryLedger } from '../chain/retryLedger.js';
@@ -17,7 +17,7 @@
 import { type ForwardEnd, type GateLoad, type OfferEnd, type Payload, perform, type Procedure } from './effects.js';
 
 /** A call at the gate. */
-export interface GateCall extends Queued {
+export interface GateCall extends QueuedCall {
   terms: OfferTerms;
 }
 
@@ -75,7 +75,7 @@
   const { terms, deadline } = call;
   const startedAt = monotonicMs();
   if (startedAt >= deadline) {
-    gate.ended(call.id, { kind: 'not_run' });
+    gate.callEnded(call.id, { kind: 'not_run' });
     return refusedBy(terms, ctx, 'deadline_before_start');
   }
   ctx.ledger.open(call.id, terms.allowance);
@@ -83,20 +83,20 @@
   const end = yield* perform('forward', { attempt: call.id, payload, entry: call.id, deadline });
   const now = monotonicMs();
   const summary = ctx.ledger.close(call.id, now) ?? kNoSummary;
-  ctx.below.learn(terms.className, summary.level, now);
+  ctx.below.update(terms.className, summary.level, now);
   const refusal = provenRefusal(end, summary);
-  gate.ended(call.id, gateEnd(refusal, now - startedAt, summary));
+  gate.callEnded(call.id, gateEnd(refusal, now - startedAt, summary));
   return offerEnd(end, summary, refusal, { gate, service: terms.service });
 }
 
-function gateEnd(refusal: ErrorKind | undefined, totalMs: number, summary: LedgerSummary): GateEnd {
+function gateEnd(refusal: ErrorKind | undefined, totalMs: number, summary: LedgerSummary): GateResult {
   if (refusal === 'target_shed') {
     return { kind: 'shed_by_target' };
   }
-  return refusal ? { kind: 'not_run' } : { kind: 'completed', totalMs, ownMs: Math.max(0, totalMs - summary.waitedMs) };
+  return refusal ? { kind: 'not_run' } : { kind: 'completed', totalMs, selfMs: Math.max(0, totalMs - summary.waitedMs) };
 }
 
-const kNoSummary: LedgerSummary = { unspent: 0, level: kAllOpen, retriedBelow: false, onwardCalls: 0, waitedMs: 0 };
+const kNoSummary: LedgerSummary = { unspent: 0, level: kOpenReport, retriedBelow: false, onwardCalls: 0, waitedMs: 0 };
 
 /**
  * Reason for which a call that was sent provably did not run. A target sheds with 429 or 503 and `Retry-After`; that
@@ -111,7 +111,7 @@
 }
 
 function offerEnd(end: ForwardEnd, summary: LedgerSummary, refusal: ErrorKind | undefined, at: GateOfService): OfferEnd {
-  const common = { unspent: summary.unspent, level: tighter(summary.level, levelOf(at)), load: loadOf(at.gate) };
+  const common = { unspent: summary.unspent, level: tighterReport(summary.level, levelOf(at)), load: loadOf(at.gate) };
   const failed = (reason: ErrorKind): OfferEnd => ({ kind: 'failed', reason, retriedBelow: summary.retriedBelow, ...common });
   if (refusal) {
     return { kind: 'refused', reason: refusal, ...common };
@@ -139,15 +139,15 @@
     kind: 'refused',
     reason,
     unspent: terms.allowance,
-    level: gate ? tighter(levelBelow(terms, ctx), levelOf({ gate, service: terms.service })) : kAllOpen,
+    level: gate ? tighterReport(levelBelow(terms, ctx), levelOf({ gate, service: terms.service })) : kOpenReport,
     load: gate ? loadOf(gate) : undefined,
   };
 }
 
 /** Tightest level that calls of this class met below the target. */
 function levelBelow(terms: OfferTerms, ctx: GateContext): LevelReport {
-  const service = ctx.below.narrowest(terms.className);
-  return service === undefined ? kAllOpen : { level: ctx.below.level(terms.className, monotonicMs()), service };
+  const service = ctx.below.restrictingService(terms.className);
+  return service === undefined ? kOpenReport : { level: ctx.below.level(terms.className, monotonicMs()), service };
 }
 
 interface GateOfService {
--- a/packages/core/src/procedures/runAttempts.ts
+++ b/packages/core/src/procedures/runAttempts.ts
@@ -7,7 +7,7 @@
  * Runs a call: offers it to targets, retries within the allowance, and takes the first whole answer.
  */
 
-import { kAllOpen, tighter } from '../admission/levelReport.js';
+import { kOpenReport, tighterReport } from '../admission/levelReport.js';
 import { answerOf, type ErrorKind } from '../errors/errorKind.js';
 import { monotonicMs } from '../util/clock.js';
 import { type Attempt, type AttemptState, proveOutcome } from './attempt.js';
@@ -31,7 +31,7 @@
   refusals = 0;
   overloads = 0;
   retries = 0;
-  level = kAllOpen;
+  level = kOpenReport;
   final = false;
   lastAnswer: Answer | undefined;
   lastReason: ErrorKind = 'no_target';
@@ -194,8 +194,8 @@
     ctx.suspects.learn(end.suspicion);
   }
   run.allowance += Math.min(end.unspent, attempt.lent);
-  run.level = tighter(run.level, end.level);
-  ctx.rootFilter.learnService(end.level.service, end.level.level, now);
+  run.level = tighterReport(run.level, end.level);
+  ctx.rootFilter.updateService(end.level.service, end.level.level, now);
   if (end.load) {
     stats.report(end.load.load, end.load.limit, now);
   }
--- a/packages/core/src/procedures/serveCall.ts
+++ b/packages/core/src/procedures/serveCall.ts
@@ -6,7 +6,7 @@
 /** Serves a call at the daemon where it came in: from a caller, or from the target on this host. */
 
 import { kMaxDepth } from '@gentiandrum/protocol';
-import { kAllOpen } from '../admission/levelReport.js';
+import { kOpenReport } from '../admission/levelReport.js';
 import { rankOf } from '../admission/rank.js';
 import { answerOf, type ErrorKind } from '../errors/errorKind.js';
 import { monotonicMs } from '../util/clock.js';
@@ -23,7 +23,7 @@
     ctx.settler.openRoot(root);
     const { served, level } = yield* serveSettled(call, ctx, call.cls.retries);
     ctx.settler.closeRoot(root);
-    ctx.rootFilter.learn(call.cls.name, level, monotonicMs());
+    ctx.rootFilter.update(call.cls.name, level, monotonicMs());
     return served;
   }
   const share = ctx.ledger.reserve(parent);
@@ -69,7 +69,7 @@
   if (ctx.stopping()) {
     return 'stopping';
   }
-  const narrowest = ctx.rootFilter.narrowest(cls.name);
+  const narrowest = ctx.rootFilter.restrictingService(cls.name);
   if (narrowest !== undefined && ctx.candidates(narrowest).length === 0) {
     return 'no_target';
   }
@@ -82,7 +82,7 @@
 }
 
 function endWithoutRun(served: Served, unspent: number, refusal?: ErrorKind): ServedCall {
-  return { served, unspent, level: kAllOpen, final: refusal === 'overloaded' };
+  return { served, unspent, level: kOpenReport, final: refusal === 'overloaded' };
 }
 
 /** Marks a `not_run` that was told before it was settled who holds the key: an earlier try may have run elsewhere. */
--- a/packages/daemon/src/app/callSession.ts
+++ b/packages/daemon/src/app/callSession.ts
@@ -11,7 +11,7 @@
 import type { Pools } from '../client/pools.js';
 import type { OfferService } from './offerService.js';
 import type { OpenOffers } from './openOffers.js';
-import { isErrorKind, kAllOpen } from '@gentiandrum/core';
+import { isErrorKind, kOpenReport } from '@gentiandrum/core';
 
 /** Time for the word whether a cancelled attempt had started, in milliseconds. */
 const kCancelMs = 50;
@@ -171,7 +171,7 @@
 /** The gate's answer as it travels. */
 export function verdictHeader(end: OfferEnd): string {
   if (end.kind === 'lost') {
-    return JSON.stringify({ kind: 'lost', unspent: 0, level: kAllOpen, retriedBelow: false, load: 0, limit: 1 });
+    return JSON.stringify({ kind: 'lost', unspent: 0, level: kOpenReport, retriedBelow: false, load: 0, limit: 1 });
   }
   const { load } = end;
   const common = { unspent: end.unspent, level: end.level, load: load?.load ?? 0, limit: load?.limit ?? 1 };
--- a/packages/daemon/src/app/offerService.ts
+++ b/packages/daemon/src/app/offerService.ts
@@ -11,8 +11,8 @@
   type ForwardEnd,
   type GateCall,
   gateCall,
-  kAllOpen,
-  kOpeningOnTheWay,
+  kOpenReport,
+  kGateReopenPolicy,
   type GateEvents,
   monotonicMs,
   type OfferEnd,
@@ -62,7 +62,7 @@
   private _bytes = 0;
 
   constructor(private readonly _deps: OfferDeps) {
-    this._below = new RootFilter(_deps.favour, kOpeningOnTheWay);
+    this._below = new RootFilter(_deps.favour, kGateReopenPolicy);
   }
 
   /** Offers that are being handled. */
@@ -99,7 +99,7 @@
         cls: terms.className,
         reason: 'bodies over the limit',
       });
-      return { kind: 'refused', reason: 'overloaded', unspent: terms.allowance, level: kAllOpen };
+      return { kind: 'refused', reason: 'overloaded', unspent: terms.allowance, level: kOpenReport };
     }
     this._bytes += size;
     this._terms.set(terms.attempt, terms);
@@ -107,7 +107,7 @@
       const refusal = await suspects.enter(terms, payload);
       if (refusal) {
         decisions.add({ request: terms.request, attempt: terms.attempt, step: 'gate', cls: terms.className, reason: refusal });
-        return withSuspicion({ kind: 'refused', reason: refusal, unspent: terms.allowance, level: kAllOpen }, () =>
+        return withSuspicion({ kind: 'refused', reason: refusal, unspent: terms.allowance, level: kOpenReport }, () =>
           suspects.known(terms, payload),
         );
       }
--- a/packages/mesh/src/app/calls/callExchange.ts
+++ b/packages/mesh/src/app/calls/callExchange.ts
@@ -223,7 +223,7 @@
       this._deps.avoid(target.host);
     }
     if (load) {
-      this._deps.chains.learn(this._req.route.name, target.host, load);
+      this._deps.chains.recordReport(this._req.route.name, target.host, load);
     }
     this._deps.ended(target.host, this._req.route.name, {
       load,
@@ -245,7 +245,7 @@
   private _callFor({ target, repeat, suspect }: Offer): PeerCall {
     const { route, callerService, requestId, method, path, headers, body, rank, workspace } = this._req;
     const remainingMs = Math.max(1, this._remainingMs());
-    const inner = !workspace && this._deps.chains.inner(route.name) === true;
+    const inner = !workspace && this._deps.chains.isInternal(route.name) === true;
     return {
       route: route.name,
       service: target.service,
--- a/packages/mesh/src/app/calls/requestEntry.ts
+++ b/packages/mesh/src/app/calls/requestEntry.ts
@@ -88,7 +88,7 @@
   /** Only what is known to come from people is turned away here. */
   private _sheds(route: Route, rank: number, keyed: boolean): boolean {
     const { chains } = this._deps;
-    const fromPeople = keyed || chains.inner(route.name) === false;
+    const fromPeople = keyed || chains.isInternal(route.name) === false;
     return fromPeople && !this._admission.admits(rank, chains.level(route.name), Math.random(), monotonicMs());
   }
 }
--- a/packages/mesh/src/app/calls/targetGate.ts
+++ b/packages/mesh/src/app/calls/targetGate.ts
@@ -26,7 +26,7 @@
   TargetLife,
   TargetReach,
   isSameIncarnation,
-  isWantOfRoom,
+  isCapacityRefusal,
   type NotRunReason,
   SuspectGate,
   type SuspectCall,
@@ -158,7 +158,7 @@
   report(route: string): GateReport {
     const { inFlight, queued, limit, meanMs } = this._gate;
     const { level, inner, height } = this._deps.chains.report(route, this._level.current);
-    const chargeMs = Math.round(this._deps.chains.sumBelow(route, (call) => this._deps.chargeMs(call)));
+    const chargeMs = Math.round(this._deps.chains.sumDownstream(route, (call) => this._deps.chargeMs(call)));
     return { inFlight, queued, limit, meanMs, level, inner, height, chargeMs };
   }
 
@@ -250,7 +250,7 @@
       startedAt: 0,
       done,
     };
-    this._deps.chains.arrived(call.route, call.callerService, call.workspace !== undefined);
+    this._deps.chains.recordArrival(call.route, call.callerService, call.workspace !== undefined);
     const refusal = this._refusalAtOnce(call) ?? this._takeSuspect(waiting);
     if (refusal) {
       this._refuse(waiting, refusal);
@@ -280,7 +280,7 @@
 
   /** Hands a call to the gate, which starts it, lets it wait for a slot, or refuses it. */
   private _letIn(waiting: Waiting): void {
-    this._level.came(waiting.call.waitMs);
+    this._level.recordArrival(waiting.call.waitMs);
     const decision = this._gate.offer(waiting);
     switch (decision.kind) {
       case 'started':
@@ -311,8 +311,8 @@
 
   /** A call that could not be started for want of room is work beyond what the target can do. */
   private _noteRefused(reason: NotRunReason): void {
-    if (isWantOfRoom(reason)) {
-      this._level.refused(this._gate.meanMs / this._gate.limit);
+    if (isCapacityRefusal(reason)) {
+      this._level.recordRefusal(this._gate.meanMs / this._gate.limit);
     }
   }
 
@@ -329,7 +329,7 @@
 
   private _heightOf(route: string): number | undefined {
     const { chains } = this._deps;
-    return chains.settled(route) ? chains.report(route, 0).height : undefined;
+    return chains.isEstimated(route) ? chains.report(route, 0).height : undefined;
   }
 
   private _refusalAtOnce(call: PeerCall): GateRefusal | undefined {
@@ -423,17 +423,17 @@
     const client = this._client;
     const { workspace } = waiting.call;
     if (now > waiting.validUntil || (workspace && !this._deps.keyHolds(workspace))) {
-      this._gate.ended(waiting.id);
+      this._gate.callEnded(waiting.id);
       this._refuse(waiting, 'key_not_valid');
       return;
     }
     if (!client || remaining <= 0) {
-      this._gate.ended(waiting.id);
+      this._gate.callEnded(waiting.id);
       this._noteRefused('wait_too_long');
       this._refuse(waiting, 'wait_too_long');
       return;
     }
-    this._deps.chains.ran(waiting.call.route);
+    this._deps.chains.recordRun(waiting.call.route);
     this._running.set(waiting.call, waiting);
     waiting.run = client.run(waiting.call, remaining, (end) => {
       this._ended(waiting, end);
@@ -448,12 +448,12 @@
     }
     const ran = answered && end.kind === 'answered' && end.answer.status < 400;
     const tookMs = monotonicMs() - waiting.startedAt;
-    if (end.kind === 'not_run' && isWantOfRoom(end.reason)) {
+    if (end.kind === 'not_run' && isCapacityRefusal(end.reason)) {
       this._noteRefused(end.reason);
     } else {
-      this._level.work(tookMs / this._gate.limit);
+      this._level.recordWork(tookMs / this._gate.limit);
     }
-    this._gate.ended(waiting.id, ran ? tookMs : undefined);
+    this._gate.callEnded(waiting.id, ran ? tookMs : undefined);
     waiting.done(end, this.report(waiting.call.route));
     this._suspects.leave(waiting);
   }
--- a/packages/mesh/src/app/records/hostRecords.ts
+++ b/packages/mesh/src/app/records/hostRecords.ts
@@ -253,11 +253,11 @@
     if (!learned) {
       return;
     }
-    chains.hear(learned.inner);
+    chains.mergeInternalRoutes(learned.inner);
     if (this._learned || service !== settings.target.service) {
       return;
     }
-    chains.recall(learned);
+    chains.restore(learned);
     if (host === settings.id) {
       this._learned = learned;
     }
--- a/packages/mesh/src/server/callServer.ts
+++ b/packages/mesh/src/server/callServer.ts
@@ -140,7 +140,7 @@
   private _entered(req: CallerRequest, end: EntryEnd): void {
     req.begun = true;
     if (end.kind === 'admitted') {
-      this._deps.chains.entered(end.route.name);
+      this._deps.chains.recordEntry(end.route.name);
       this._exchange(req, end);
     } else {
       this._refuseEntry(req, end);
--- a/tests/admission/chainModel.spec.ts
+++ b/tests/admission/chainModel.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { CallerMix, CallRatios, ChainModel, GateLevel, RootAdmission, seededRandom } from '@gentiandrum/core';
+import { InternalRouteDetector, CallRatios, ChainModel, GateLevel, RootAdmission, seededRandom } from '@gentiandrum/core';
 import { describe, it, itAlone } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
@@ -11,23 +11,23 @@
 
 describe('caller mix', () => {
   it('should know a call of targets by the services that never make it', (t) => {
-    const mix = new CallerMix();
+    const detector = new InternalRouteDetector();
     for (let i = 0; i < 200; i++) {
-      mix.note('lookup', kServices[i % kServices.length] ?? '');
-      mix.note('feed', 'switching');
+      detector.recordArrival('lookup', kServices[i % kServices.length] ?? '');
+      detector.recordArrival('feed', 'switching');
     }
-    t.false(mix.inner('lookup'));
-    t.true(mix.inner('feed'));
-    t.is(mix.inner('never seen'), undefined);
+    t.false(detector.isInternal('lookup'));
+    t.true(detector.isInternal('feed'));
+    t.is(detector.isInternal('never seen'), undefined);
   });
 
   it('should not judge a route from a few calls', (t) => {
-    const mix = new CallerMix();
+    const detector = new InternalRouteDetector();
     kServices.forEach((service) => {
-      mix.note('lookup', service);
+      detector.recordArrival('lookup', service);
     });
-    mix.note('new', 'archive');
-    t.is(mix.inner('new'), undefined);
+    detector.recordArrival('new', 'archive');
+    t.is(detector.isInternal('new'), undefined);
   });
 });
 
@@ -35,21 +35,21 @@
   it('should tell which of two routes makes the calls, and how many, though both follow the same wave of load', (t) => {
     const random = seededRandom(7);
     const ratios = new CallRatios();
-    const about = (mean: number): number => Array.from({ length: 4 * mean }, random).filter((draw) => draw < 0.25).length;
+    const drawCount = (mean: number): number => Array.from({ length: 4 * mean }, random).filter((draw) => draw < 0.25).length;
     for (let sample = 0; sample < 300; sample++) {
       const wave = 1 + 0.5 * Math.sin(sample / 10);
-      const rosters = about(Math.round(20 * wave));
-      const holds = about(Math.round(8 * wave));
+      const rosters = drawCount(Math.round(20 * wave));
+      const holds = drawCount(Math.round(8 * wave));
       for (let i = 0; i < rosters; i++) {
-        ratios.ran('roster');
+        ratios.recordRun('roster');
         Array.from({ length: 4 }).forEach(() => {
-          ratios.called('feed');
+          ratios.recordCall('feed');
         });
       }
       for (let i = 0; i < holds; i++) {
-        ratios.ran('hold');
+        ratios.recordRun('hold');
       }
-      ratios.sample();
+      ratios.closeSample();
     }
     ratios.solve();
     t.true(Math.abs((ratios.callsOf('roster').get('feed') ?? 0) - 4) < 0.2);
@@ -59,10 +59,10 @@
 
 describe('gate level', () => {
   const kStepMs = 100;
-  const kToleratedMs = 150;
+  const kAllowedWaitMs = 150;
 
   /** A gate with a queue, whose offered work follows the level of some steps ago, and is `demand` without any. */
-  function steer(demand: (step: number) => number, steps: number): { level: number; done: number; waitMs: number }[] {
+  function simulateGate(demand: (step: number) => number, steps: number): { level: number; done: number; waitMs: number }[] {
     const kDelaySteps = 4;
     const level = new GateLevel();
     const levels = Array.from({ length: kDelaySteps }, () => 0);
@@ -70,9 +70,9 @@
     return Array.from({ length: steps }, (_, step) => {
       const offeredMs = demand(step) * (1 - (levels.at(-kDelaySteps) ?? 0)) * kStepMs + waitMs;
       const doneMs = Math.min(kStepMs, offeredMs);
-      waitMs = Math.min(kToleratedMs, offeredMs - doneMs);
-      level.came(kToleratedMs);
-      level.work(doneMs + (offeredMs - doneMs - waitMs));
+      waitMs = Math.min(kAllowedWaitMs, offeredMs - doneMs);
+      level.recordArrival(kAllowedWaitMs);
+      level.recordWork(doneMs + (offeredMs - doneMs - waitMs));
       level.step(waitMs, kStepMs);
       levels.push(level.current);
       return { level: level.current, done: doneMs / kStepMs, waitMs };
@@ -83,9 +83,9 @@
 
   it('should settle where the slots are busy and the queue is short', (t) => {
     for (const demand of [1.1, 1.3, 1.8, 3]) {
-      const settled = steer(() => demand, 250).slice(120);
+      const settled = simulateGate(() => demand, 250).slice(120);
       t.true(mean(settled.map(({ done }) => done)) > 0.95);
-      t.true(mean(settled.map(({ waitMs }) => waitMs)) < 0.6 * kToleratedMs);
+      t.true(mean(settled.map(({ waitMs }) => waitMs)) < 0.6 * kAllowedWaitMs);
     }
   });
 
@@ -102,31 +102,31 @@
         let waitMs = 0;
         for (let step = 0; step < 400; step++) {
           const priorities = Array.from({ length: 60 }, (_, i) => [2, 0, 2, 1, 2, 2][i % 6] ?? 0);
-          const heard = levels.at(-1 - delaySteps) ?? 0;
-          const share = priorities.filter((priority) => admission.admits(priority, heard, random(), step * kStepMs)).length / 60;
+          const reportedLevel = levels.at(-1 - delaySteps) ?? 0;
+          const share = priorities.filter((priority) => admission.admits(priority, reportedLevel, random(), step * kStepMs)).length / 60;
           const offeredMs = demand * share * kStepMs + waitMs;
           const doneMs = Math.min(kStepMs, offeredMs);
           waitMs = Math.min(4 * kStepMs, offeredMs - doneMs);
           const refusedMs = offeredMs - doneMs - waitMs;
-          level.came(4 * kStepMs);
-          level.work(doneMs + refusedMs);
+          level.recordArrival(4 * kStepMs);
+          level.recordWork(doneMs + refusedMs);
           level.step(waitMs, kStepMs);
           levels.push(level.current);
           settled.push({ done: doneMs / kStepMs, refused: refusedMs / kStepMs });
         }
-        const late = settled.slice(150);
-        t.true(mean(late.map(({ done }) => done)) > 0.97);
-        t.true(mean(late.map(({ refused }) => refused)) < 0.01);
+        const settledSteps = settled.slice(150);
+        t.true(mean(settledSteps.map(({ done }) => done)) > 0.97);
+        t.true(mean(settledSteps.map(({ refused }) => refused)) < 0.01);
       }
     }
   });
 
   it('should be open again soon after a rush, and hardly close a gate whose slots are enough', (t) => {
-    const after = steer((step) => (step < 50 ? 2 : 0.5), 110);
+    const after = simulateGate((step) => (step < 50 ? 2 : 0.5), 110);
     t.true((after[49]?.level ?? 0) > 0.3);
     t.is(after[80]?.level, 0);
-    t.true(steer(() => 0.95, 50).every(({ level }) => level === 0));
-    t.true(steer((step) => (step % 10 === 0 ? 1.5 : 0.9), 100).every(({ level }) => level < 0.05));
+    t.true(simulateGate(() => 0.95, 50).every(({ level }) => level === 0));
+    t.true(simulateGate((step) => (step % 10 === 0 ? 1.5 : 0.9), 100).every(({ level }) => level < 0.05));
   });
 });
 
@@ -138,16 +138,16 @@
   function admitted(mix: readonly number[], level: number): { shares: number[]; all: number } {
     const admission = new RootAdmission();
     const random = seededRandom(5);
-    const came = [0, 0, 0];
-    const letIn = [0, 0, 0];
+    const arrivals = [0, 0, 0];
+    const admittedCounts = [0, 0, 0];
     for (let i = 0; i < 12_000; i++) {
       const priority = mix[i % mix.length] ?? 0;
       const admits = admission.admits(priority, level, random(), i * 10);
-      came[priority] = (came[priority] ?? 0) + 1;
-      letIn[priority] = (letIn[priority] ?? 0) + (admits ? 1 : 0);
+      arrivals[priority] = (arrivals[priority] ?? 0) + 1;
+      admittedCounts[priority] = (admittedCounts[priority] ?? 0) + (admits ? 1 : 0);
     }
-    const all = letIn.reduce((sum, count) => sum + count, 0) / 12_000;
-    return { shares: letIn.map((count, priority) => count / (came[priority] ?? 1)), all };
+    const all = admittedCounts.reduce((sum, count) => sum + count, 0) / 12_000;
+    return { shares: admittedCounts.map((count, priority) => count / (arrivals[priority] ?? 1)), all };
   }
 
   it('should turn the less urgent away first, and nobody at level 0', (t) => {
@@ -179,15 +179,15 @@
     const random = seededRandom(3);
     for (let sample = 0; sample < 200; sample++) {
       time.runUntil(time.now + 200);
-      chains.learn('feed', 'h1', { level: 0.4, inner: true, height: 0 });
+      chains.recordReport('feed', 'h1', { level: 0.4, inner: true, height: 0 });
       const rosters = Math.floor(random() * 20);
       for (let i = 0; i < rosters; i++) {
-        chains.ran('roster');
-        chains.entered('feed');
+        chains.recordRun('roster');
+        chains.recordEntry('feed');
       }
       const holds = Math.floor(random() * 10);
       for (let i = 0; i < holds; i++) {
-        chains.ran('hold');
+        chains.recordRun('hold');
       }
       chains.step();
     }
@@ -203,17 +203,17 @@
   itAlone('should turn nobody away while some host has room, and forget hosts that are not heard of', (t) => {
     const time = new VirtualTime();
     const chains = new ChainModel();
-    const hear = (host: string, level: number): void => {
+    const reportLevel = (host: string, level: number): void => {
       for (let i = 0; i < 50; i++) {
-        chains.learn('feed', host, { level, inner: true, height: 0 });
+        chains.recordReport('feed', host, { level, inner: true, height: 0 });
       }
     };
-    hear('full', 0.8);
+    reportLevel('full', 0.8);
     t.true(chains.level('feed') > 0.7);
-    hear('free', 0);
+    reportLevel('free', 0);
     t.is(chains.level('feed'), 0);
     time.runUntil(1_500);
-    hear('full', 0.8);
+    reportLevel('full', 0.8);
     t.true(chains.level('feed') > 0.7);
     time.restore();
   });
@@ -222,40 +222,40 @@
     const time = new VirtualTime();
     const random = seededRandom(11);
     /** Runs of a route that makes so many calls, over some seconds. */
-    const live = (chains: ChainModel, callsOfRun: number): void => {
+    const simulateRuns = (chains: ChainModel, callsOfRun: number): void => {
       for (let sample = 0; sample < 150; sample++) {
         time.runUntil(time.now + 200);
-        chains.learn('feed', 'h1', { level: 0.4, inner: true, height: 0 });
+        chains.recordReport('feed', 'h1', { level: 0.4, inner: true, height: 0 });
         for (let i = 0; i < Math.floor(random() * 20); i++) {
-          chains.arrived('roster', 'front');
-          chains.ran('roster');
+          chains.recordArrival('roster', 'front');
+          chains.recordRun('roster');
           for (let call = 0; call < callsOfRun; call++) {
-            chains.entered('feed');
+            chains.recordEntry('feed');
           }
         }
         chains.step();
       }
     };
     const before = new ChainModel();
-    live(before, 4);
+    simulateRuns(before, 4);
     const learned = before.learned();
     t.true(Math.abs((learned.calls.roster?.feed ?? 0) - 4) < 0.2);
     t.is(learned.inner.roster, false);
 
     const after = new ChainModel();
-    t.false(after.settled('roster'));
-    after.recall(learned);
-    after.hear({ feed: true });
-    t.true(after.settled('roster'));
-    t.is(after.inner('feed'), true);
-    after.learn('feed', 'h1', { level: 0.4, inner: true, height: 0 });
+    t.false(after.isEstimated('roster'));
+    after.restore(learned);
+    after.mergeInternalRoutes({ feed: true });
+    t.true(after.isEstimated('roster'));
+    t.is(after.isInternal('feed'), true);
+    after.recordReport('feed', 'h1', { level: 0.4, inner: true, height: 0 });
     const report = after.report('roster', 0);
     t.true(report.level > 0.35);
     t.is(report.height, 1);
     t.is(report.inner, false);
-    t.true(Math.abs(after.sumBelow('roster', () => 1) - 4) < 0.2);
-    live(after, 2);
-    t.true(Math.abs(after.sumBelow('roster', () => 1) - 2) < 0.2);
+    t.true(Math.abs(after.sumDownstream('roster', () => 1) - 4) < 0.2);
+    simulateRuns(after, 2);
+    t.true(Math.abs(after.sumDownstream('roster', () => 1) - 2) < 0.2);
     time.restore();
   });
 });
--- a/tests/admission/gate.spec.ts
+++ b/tests/admission/gate.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { type ErrorKind, Gate, type GateEvents, kCohorts, kOpenLevel, type Queued, rankOf } from '@gentiandrum/core';
+import { type ErrorKind, Gate, type GateEvents, kCohorts, kOpenLevel, type QueuedCall, rankOf } from '@gentiandrum/core';
 import fc from 'fast-check';
 import { describe, itAlone } from '../support/describe.js';
 import { withHeldClock } from '../support/heldClock.js';
@@ -11,12 +11,12 @@
 const kWarm = -Infinity;
 const kSeed = 11;
 
-interface Log extends GateEvents<Queued> {
+interface EventRecorder extends GateEvents<QueuedCall> {
   started: string[];
   shed: [string, ErrorKind][];
 }
 
-function makeLog(): Log {
+function createRecorder(): EventRecorder {
   const started: string[] = [];
   const shed: [string, ErrorKind][] = [];
   return {
@@ -27,7 +27,7 @@
   };
 }
 
-function call(id: string, importance: number, more: Partial<Queued> = {}): Queued {
+function call(id: string, importance: number, more: Partial<QueuedCall> = {}): QueuedCall {
   return {
     id,
     rank: rankOf({ importance, cohort: 0 }),
@@ -41,7 +41,7 @@
 describe('a gate', () => {
   itAlone('should start calls up to the announced slots and queue the rest', (t) => {
     withHeldClock(() => {
-      const gate = new Gate(2, () => 'goodput', makeLog(), kWarm);
+      const gate = new Gate(2, () => 'goodput', createRecorder(), kWarm);
       t.deepEqual(
         [gate.offer(call('1', 1)), gate.offer(call('2', 1)), gate.offer(call('3', 1))].map(({ kind }) => kind),
         ['started', 'started', 'queued'],
@@ -51,54 +51,54 @@
 
   itAlone('should start the most important waiting call first, and deeper ones before fresh ones', (t) => {
     withHeldClock(() => {
-      const log = makeLog();
-      const gate = new Gate(1, () => 'goodput', log, kWarm);
+      const recorder = createRecorder();
+      const gate = new Gate(1, () => 'goodput', recorder, kWarm);
       gate.offer(call('running', 3));
       gate.offer(call('low', 3));
       gate.offer(call('fresh', 1));
       gate.offer(call('deep', 1, { depth: 4 }));
       gate.offer(call('critical', 0));
       for (const id of ['running', 'critical', 'deep', 'fresh']) {
-        gate.ended(id, { kind: 'completed', totalMs: 1, ownMs: 1 });
+        gate.callEnded(id, { kind: 'completed', totalMs: 1, selfMs: 1 });
       }
-      t.deepEqual(log.started, ['critical', 'deep', 'fresh', 'low']);
+      t.deepEqual(recorder.started, ['critical', 'deep', 'fresh', 'low']);
     });
   });
 
   itAlone('should never start a call whose deadline passed while it waited', (t) => {
     withHeldClock((clock) => {
-      const log = makeLog();
-      const gate = new Gate(1, () => 'goodput', log, kWarm);
+      const recorder = createRecorder();
+      const gate = new Gate(1, () => 'goodput', recorder, kWarm);
       gate.offer(call('running', 1));
       gate.offer(call('late', 1, { deadline: 50 }));
       clock.tick(60);
-      gate.ended('running', { kind: 'completed', totalMs: 60, ownMs: 60 });
-      t.deepEqual(log.started, []);
-      t.deepEqual(log.shed, [['late', 'deadline_before_start']]);
+      gate.callEnded('running', { kind: 'completed', totalMs: 60, selfMs: 60 });
+      t.deepEqual(recorder.started, []);
+      t.deepEqual(recorder.shed, [['late', 'deadline_before_start']]);
     });
   });
 
   itAlone('should never start a call that was cancelled while it waited', (t) => {
     withHeldClock(() => {
-      const log = makeLog();
-      const gate = new Gate(1, () => 'goodput', log, kWarm);
+      const recorder = createRecorder();
+      const gate = new Gate(1, () => 'goodput', recorder, kWarm);
       gate.offer(call('running', 1));
       gate.offer(call('gone', 1));
       t.true(gate.cancel('gone'));
       t.false(gate.cancel('running'));
-      gate.ended('running', { kind: 'completed', totalMs: 1, ownMs: 1 });
-      t.deepEqual(log.started, []);
+      gate.callEnded('running', { kind: 'completed', totalMs: 1, selfMs: 1 });
+      t.deepEqual(recorder.started, []);
     });
   });
 
   itAlone('should hand back what waits when it closes, and let what runs end', (t) => {
     withHeldClock(() => {
-      const log = makeLog();
-      const gate = new Gate(1, () => 'goodput', log, kWarm);
+      const recorder = createRecorder();
+      const gate = new Gate(1, () => 'goodput', recorder, kWarm);
       gate.offer(call('running', 1));
       gate.offer(call('waiting', 1));
       gate.close('target_leaving');
-      t.deepEqual(log.shed, [['waiting', 'target_leaving']]);
+      t.deepEqual(recorder.shed, [['waiting', 'target_leaving']]);
       t.deepEqual(gate.offer(call('new', 0)), { kind: 'refused', reason: 'target_leaving' });
       t.is(gate.inFlight, 1);
     });
@@ -106,7 +106,7 @@
 
   itAlone('should hold a cold target back for some seconds when nothing tells that it is warm', (t) => {
     withHeldClock((clock) => {
-      const gate = new Gate(100, () => 'goodput', makeLog(), 0);
+      const gate = new Gate(100, () => 'goodput', createRecorder(), 0);
       t.is(gate.limit, 30);
       clock.tick(4_900);
       t.is(gate.limit, 30);
@@ -125,18 +125,18 @@
     fc.assert(
       fc.property(fc.array(arrival, { minLength: 20, maxLength: 200 }), (arrivals) => {
         withHeldClock((clock) => {
-          const waiting = new Map<string, Queued>();
+          const waiting = new Map<string, QueuedCall>();
           const running: string[] = [];
-          const worst = (): number => Math.max(-1, ...[...waiting.values()].map(({ rank }) => rank));
-          const events: GateEvents<Queued> = {
+          const worstWaitingRank = (): number => Math.max(-1, ...[...waiting.values()].map(({ rank }) => rank));
+          const events: GateEvents<QueuedCall> = {
             onStart: ({ id }) => {
               waiting.delete(id);
               running.push(id);
             },
             onShed: ({ id, rank }, reason) => {
               waiting.delete(id);
-              if (reason === 'overloaded' && rank < worst()) {
-                throw new Error(`evicted rank ${rank} before rank ${worst()}`);
+              if (reason === 'overloaded' && rank < worstWaitingRank()) {
+                throw new Error(`evicted rank ${rank} before rank ${worstWaitingRank()}`);
               }
             },
           };
@@ -145,16 +145,16 @@
             clock.tick(gap);
             const ended = i % 3 === 0 ? running.shift() : undefined;
             if (ended !== undefined) {
-              gate.ended(ended, { kind: 'completed', totalMs: 30, ownMs: 30 });
+              gate.callEnded(ended, { kind: 'completed', totalMs: 30, selfMs: 30 });
             }
-            const made = call(String(i), importance, { rank: rankOf({ importance, cohort }), deadline: performance.now() + life });
-            waiting.set(made.id, made);
-            const decision = gate.offer(made);
+            const offered = call(String(i), importance, { rank: rankOf({ importance, cohort }), deadline: performance.now() + life });
+            waiting.set(offered.id, offered);
+            const decision = gate.offer(offered);
             if (decision.kind !== 'queued') {
-              waiting.delete(made.id);
+              waiting.delete(offered.id);
             }
             if (decision.kind === 'started') {
-              running.push(made.id);
+              running.push(offered.id);
             }
           });
         });
@@ -168,7 +168,7 @@
 describe('an admission level', () => {
   itAlone('should tighten under lasting overload and shed the least important first', (t) => {
     withHeldClock((clock) => {
-      const gate = new Gate(4, () => 'goodput', makeLog(), kWarm);
+      const gate = new Gate(4, () => 'goodput', createRecorder(), kWarm);
       overload(gate, clock, 100);
       t.true(gate.level < kOpenLevel);
       t.is(gate.offer(call('low', 3)).kind, 'refused');
@@ -179,7 +179,7 @@
   itAlone('should open again within a second of spare capacity, sooner when recovery is favoured', (t) => {
     const timeToOpen = (favour: 'goodput' | 'recovery'): number =>
       withHeldClock((clock) => {
-        const gate = new Gate(4, () => favour, makeLog(), kWarm);
+        const gate = new Gate(4, () => favour, createRecorder(), kWarm);
         overload(gate, clock, 100);
         const begin = performance.now();
         while (gate.level < kOpenLevel && performance.now() - begin < 5_000) {
@@ -193,24 +193,24 @@
 });
 
 /** Offers far more than the gate's four slots can end, for some windows; what runs ends after 40 ms. */
-function overload(gate: Gate<Queued>, clock: { tick: (ms: number) => number }, rounds: number): void {
-  const slotTimes = new Map<string, number>();
+function overload(gate: Gate<QueuedCall>, clock: { tick: (ms: number) => number }, rounds: number): void {
+  const offeredAt = new Map<string, number>();
   for (let round = 0; round < rounds; round++) {
     clock.tick(10);
-    for (const [id, at] of slotTimes) {
-      if (performance.now() - at >= 40 && gate.started(id)) {
-        gate.ended(id, { kind: 'completed', totalMs: 40, ownMs: 40 });
-        slotTimes.delete(id);
+    for (const [id, at] of offeredAt) {
+      if (performance.now() - at >= 40 && gate.runningCall(id)) {
+        gate.callEnded(id, { kind: 'completed', totalMs: 40, selfMs: 40 });
+        offeredAt.delete(id);
       }
     }
     for (let importance = 0; importance < 4; importance++) {
       const id = `${round}-${importance}`;
       gate.offer(call(id, importance));
-      slotTimes.set(id, performance.now());
+      offeredAt.set(id, performance.now());
     }
   }
-  for (const id of slotTimes.keys()) {
-    gate.ended(id, { kind: 'completed', totalMs: 40, ownMs: 40 });
+  for (const id of offeredAt.keys()) {
+    gate.callEnded(id, { kind: 'completed', totalMs: 40, selfMs: 40 });
     gate.cancel(id);
   }
 }
--- a/tests/admission/limit.spec.ts
+++ b/tests/admission/limit.spec.ts
@@ -10,11 +10,11 @@
 const kSlots = 20;
 
 /** Feeds a limit with calls of a target whose own time follows from how many run at once. */
-function feed(limit: AdaptiveLimit, from: number, seconds: number, ownMs: (running: number) => number): number {
-  let now = from;
-  for (; now < from + seconds * 1_000; now += 10) {
+function feedCompletions(limit: AdaptiveLimit, startMs: number, seconds: number, selfMs: (running: number) => number): number {
+  let now = startMs;
+  for (; now < startMs + seconds * 1_000; now += 10) {
     const running = limit.current(now);
-    limit.completed(ownMs(running), running, now);
+    limit.recordCompletion(selfMs(running), running, now);
   }
   return now;
 }
@@ -26,28 +26,28 @@
 
   it('should narrow when the target gets slower the more runs at once', (t) => {
     const limit = new AdaptiveLimit(kSlots * 4, kWarm, 0);
-    const end = feed(limit, 0, 5, () => 40);
-    feed(limit, end, 20, (running) => 40 * Math.max(1, running / kSlots) ** 2);
+    const end = feedCompletions(limit, 0, 5, () => 40);
+    feedCompletions(limit, end, 20, (running) => 40 * Math.max(1, running / kSlots) ** 2);
     t.true(limit.current(30_000) < kSlots * 3, String(limit.current(30_000)));
   });
 
   it('should keep its width when the target merely has become slower', (t) => {
     const limit = new AdaptiveLimit(kSlots, kWarm, 0);
-    const end = feed(limit, 0, 5, () => 40);
-    const last = feed(limit, end, 10, () => 400);
+    const end = feedCompletions(limit, 0, 5, () => 40);
+    const last = feedCompletions(limit, end, 10, () => 400);
     t.true(limit.current(last) >= kSlots * 0.8, String(limit.current(last)));
   });
 
   it('should widen for a cold target as soon as its own time does not grow', (t) => {
     const limit = new AdaptiveLimit(kSlots, 0, 0);
     t.is(limit.current(0), kSlots * 0.3);
-    feed(limit, 0, 1, () => 40);
+    feedCompletions(limit, 0, 1, () => 40);
     t.true(limit.current(1_000) >= kSlots);
   });
 
   it("should narrow at the target's own shedding", (t) => {
     const limit = new AdaptiveLimit(kSlots, kWarm, 0);
-    limit.refused(10);
+    limit.recordTargetShed(10);
     t.true(limit.current(0) < 10);
   });
 
@@ -61,7 +61,7 @@
 describe('a root filter', () => {
   it('should refuse at the root what a service below sheds', (t) => {
     const filter = new RootFilter(() => 'goodput');
-    filter.learn('report', { level: 100, service: 'hazards' }, 0);
+    filter.update('report', { level: 100, service: 'hazards' }, 0);
     t.false(filter.admits('report', 200, 10));
     t.true(filter.admits('report', 50, 10));
     t.true(filter.admits('other', 200, 10));
@@ -69,9 +69,9 @@
 
   it('should open a class that is shed altogether when answers of others tell that the service opened', (t) => {
     const filter = new RootFilter(() => 'goodput');
-    filter.learn('report', { level: 100, service: 'hazards' }, 0);
+    filter.update('report', { level: 100, service: 'hazards' }, 0);
     for (let now = 0; now < 300; now += 10) {
-      filter.learn('lookup', { level: kOpenLevel, service: 'hazards' }, now);
+      filter.update('lookup', { level: kOpenLevel, service: 'hazards' }, now);
     }
     t.true(filter.admits('report', 400, 300));
   });
@@ -79,7 +79,7 @@
   it('should open by itself when no answer comes, sooner when recovery is favoured', (t) => {
     const opens = (favour: 'goodput' | 'recovery'): number => {
       const filter = new RootFilter(() => favour);
-      filter.learn('report', { level: 1, service: 'hazards' }, 0);
+      filter.update('report', { level: 1, service: 'hazards' }, 0);
       let now = 0;
       while (!filter.admits('report', 400, now)) {
         now += 100;
--- a/tests/admission/refusalLevel.spec.ts
+++ b/tests/admission/refusalLevel.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { GateLevel, isWantOfRoom, type NotRunReason, SlotGate } from '@gentiandrum/core';
+import { GateLevel, isCapacityRefusal, type NotRunReason, SlotGate } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 /** All reasons; the type makes a new one miss here until it is named. */
@@ -24,14 +24,14 @@
 const kStepMs = 100;
 
 /** The level after `steps` in which a share of the arrivals is refused and the slots look idle. */
-function levelAfter(refusedShare: number, steps: number, meanMs: number): number {
+function simulateRefusals(refusedShare: number, steps: number, meanMs: number): number {
   const level = new GateLevel();
   const perStep = 20;
   for (let step = 0; step < steps; step++) {
     for (let i = 0; i < perStep; i++) {
-      level.came(100);
+      level.recordArrival(100);
       if (i < refusedShare * perStep) {
-        level.refused(meanMs);
+        level.recordRefusal(meanMs);
       }
     }
     level.step(0, kStepMs);
@@ -41,44 +41,44 @@
 
 describe('level of a gate that refuses', () => {
   it('should count each reason as want of room, or say that it is none', (t) => {
-    for (const [reason, wanted] of Object.entries(kReasons)) {
-      t.is(isWantOfRoom(reason as NotRunReason), wanted, reason);
+    for (const [reason, expected] of Object.entries(kReasons)) {
+      t.is(isCapacityRefusal(reason as NotRunReason), expected, reason);
     }
   });
 
   it('should not stay at 0 while more than a tenth of the arrivals is refused for want of room, however idle the slots look', (t) => {
-    t.true(levelAfter(0.2, 10, 0) > 0);
-    t.true(levelAfter(0.6, 10, 0) > levelAfter(0.2, 10, 0));
-    t.is(levelAfter(0.05, 10, 0), 0);
+    t.true(simulateRefusals(0.2, 10, 0) > 0);
+    t.true(simulateRefusals(0.6, 10, 0) > simulateRefusals(0.2, 10, 0));
+    t.is(simulateRefusals(0.05, 10, 0), 0);
   });
 
   it('should be steered by the work alone while the slots are busy', (t) => {
     const level = new GateLevel();
-    const other = new GateLevel();
+    const workOnlyLevel = new GateLevel();
     for (let step = 0; step < 20; step++) {
       for (let i = 0; i < 20; i++) {
-        level.came(100);
-        other.came(100);
+        level.recordArrival(100);
+        workOnlyLevel.recordArrival(100);
         if (i < 4) {
-          level.refused(1);
-          other.work(1);
+          level.recordRefusal(1);
+          workOnlyLevel.recordWork(1);
         }
       }
-      level.work(95);
-      other.work(95);
+      level.recordWork(95);
+      workOnlyLevel.recordWork(95);
       level.step(10, kStepMs);
-      other.step(10, kStepMs);
+      workOnlyLevel.step(10, kStepMs);
     }
-    t.is(level.current, other.current);
+    t.is(level.current, workOnlyLevel.current);
   });
 
   it('should fall again within seconds once nothing is refused', (t) => {
     const level = new GateLevel();
     for (let step = 0; step < 50; step++) {
       for (let i = 0; i < 20; i++) {
-        level.came(100);
+        level.recordArrival(100);
         if (i < (step < 10 ? 10 : 0)) {
-          level.refused(0);
+          level.recordRefusal(0);
         }
       }
       level.step(0, kStepMs);
--- a/tests/admission/slotGate.spec.ts
+++ b/tests/admission/slotGate.spec.ts
@@ -7,9 +7,9 @@
 import { describe, itAlone } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
-const kLongMs = 10_000;
+const kLongWaitMs = 10_000;
 
-interface World {
+interface GateFixture {
   time: VirtualTime;
   gate: SlotGate<GatedCall>;
   started: number[];
@@ -17,7 +17,7 @@
   offer: (id: number, waitMs?: number) => string;
 }
 
-function withGate(body: (world: World) => void): void {
+function withGate(body: (fixture: GateFixture) => void): void {
   const time = new VirtualTime();
   const started: number[] = [];
   const refused: [number, GateRefusal][] = [];
@@ -25,7 +25,7 @@
     onStart: ({ id }) => started.push(id),
     onRefuse: ({ id }, reason) => refused.push([id, reason]),
   });
-  const offer = (id: number, waitMs = kLongMs): string => gate.offer({ id, waitUntil: time.now + waitMs }).kind;
+  const offer = (id: number, waitMs = kLongWaitMs): string => gate.offer({ id, waitUntil: time.now + waitMs }).kind;
   try {
     body({ time, gate, started, refused, offer });
   } finally {
@@ -47,8 +47,8 @@
       t.is(kinds.filter((kind) => kind === 'started').length, 10);
       t.is(gate.inFlight, 10);
       offer(20, 100);
-      gate.ended(0, 5);
-      gate.ended(1, 5);
+      gate.callEnded(0, 5);
+      gate.callEnded(1, 5);
       t.deepEqual(started, [20, 10]);
       t.is(gate.inFlight, 10);
     });
@@ -58,7 +58,7 @@
     withGate(({ gate, offer }) => {
       gate.open(2, 0);
       offer(1);
-      gate.ended(1, 400);
+      gate.callEnded(1, 400);
       offer(2);
       t.is(offer(3, 500), 'queued');
       t.is(offer(4, 500), 'refused');
@@ -70,7 +70,7 @@
       gate.open(1, 0);
       offer(1);
       offer(2, 50);
-      offer(3, kLongMs);
+      offer(3, kLongWaitMs);
       time.runUntil(60);
       gate.expire();
       t.deepEqual(refused, [[2, 'wait_too_long']]);
@@ -84,8 +84,8 @@
   itAlone('should withdraw what waits, and only that', (t) => {
     withGate(({ gate }) => {
       gate.open(1, 0);
-      const running = { id: 1, waitUntil: kLongMs };
-      const waiting = { id: 2, waitUntil: kLongMs };
+      const running = { id: 1, waitUntil: kLongWaitMs };
+      const waiting = { id: 2, waitUntil: kLongWaitMs };
       gate.offer(running);
       gate.offer(waiting);
       t.false(gate.withdraw(running));
--- a/tests/matrix/matrixWorld.ts
+++ b/tests/matrix/matrixWorld.ts
@@ -451,7 +451,7 @@
   private _forward(daemon: MatrixDaemon, effect: EffectOf<'forward'>, resume: Resume, fault: Fault | undefined): void {
     const { attempt, payload, deadline } = effect;
     const call = daemon.gateContext.ledger.has(attempt);
-    const terms = daemon.gate.started(attempt)?.terms;
+    const terms = daemon.gate.runningCall(attempt)?.terms;
     if (fault === 'lost_before' || !call || !terms) {
       this.time.after(kHopMs, () => {
         resume({ kind: 'lost', written: false });
--- a/tests/retries/ledger.spec.ts
+++ b/tests/retries/ledger.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { kAllOpen, RetryLedger, RetryRatio } from '@gentiandrum/core';
+import { kOpenReport, RetryLedger, RetryRatio } from '@gentiandrum/core';
 import fc from 'fast-check';
 import { describe, it } from '../support/describe.js';
 
@@ -65,7 +65,7 @@
     const share = call.restarts && i > 0 ? ledger.reserve(entry) : (shares[i] ?? 0);
     const end = play(child, share, `${entry}/${i}`);
     retries += end.retries;
-    ledger.endOnward(entry, 0, { unspent: end.unspent, level: kAllOpen, final: false });
+    ledger.endOnward(entry, 0, { unspent: end.unspent, level: kOpenReport, final: false });
     if (ledger.takeOne(entry)) {
       retries++;
     }
@@ -106,7 +106,7 @@
     ledger.open('call', 0);
     ledger.beginOnward('call', 10);
     ledger.beginOnward('call', 20);
-    const end = { unspent: 0, level: kAllOpen, final: false };
+    const end = { unspent: 0, level: kOpenReport, final: false };
     ledger.endOnward('call', 30, end);
     ledger.endOnward('call', 50, end);
     t.is(ledger.close('call', 60)?.waitedMs, 40);
--- a/tests/routing/deadTargets.spec.ts
+++ b/tests/routing/deadTargets.spec.ts
@@ -177,12 +177,12 @@
     const gate = this._gates[at];
     if (this.gone.has(at)) {
       this._note(at, 'refused');
-      gate?.ended(id);
+      gate?.callEnded(id);
       reply({ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 });
       return;
     }
     this._time.after(kRunMs, () => {
-      gate?.ended(id, kRunMs);
+      gate?.callEnded(id, kRunMs);
       reply({ kind: 'answered', answer: { status: 200, headers: [], body: Buffer.alloc(0) } });
     });
   }
--- a/tests/workspaces/admitRequest.spec.ts
+++ b/tests/workspaces/admitRequest.spec.ts
@@ -164,7 +164,7 @@
     const gate = new SlotGate({ onStart: () => undefined, onRefuse: ({ id }) => refused.push(id) });
     gate.open(1, 0);
     gate.offer({ id: 0, waitUntil: Infinity });
-    gate.ended(0, 100);
+    gate.callEnded(0, 100);
     gate.offer({ id: 1, waitUntil: Infinity });
     const waitUntil = performance.now() + 250;
     t.is(gate.offer({ id: 2, waitUntil, rank: 1_002 }).kind, 'queued');
