--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -24,7 +24,7 @@
   type Procedure,
   type Reply,
   RetryLedger,
-  RetryRatio,
+  RetryTokenBucket,
   RootFilter,
   type ServeContext,
   serveCall,
@@ -335,7 +335,7 @@
   }
 
   private _makeServe(host: Host, ledger: RetryLedger, knownGone: Set<string>): ServeContext {
-    const ratios = new Map<string, RetryRatio>();
+    const ratios = new Map<string, RetryTokenBucket>();
     const candidates = new Map<string, Candidate[]>();
     for (const plan of this._world.deployment.services) {
       candidates.set(
@@ -365,7 +365,7 @@
       rootFilter: new RootFilter(() => this._favour),
       ledger,
       retryRatio: (service) => {
-        const ratio = ratios.get(service) ?? new RetryRatio(() => kRetryRatio);
+        const ratio = ratios.get(service) ?? new RetryTokenBucket(() => kRetryRatio);
         ratios.set(service, ratio);
         return ratio;
       },
--- a/packages/core/src/chain/retryLedger.ts
+++ b/packages/core/src/chain/retryLedger.ts
@@ -13,17 +13,17 @@
 import { kOpenReport, type LevelReport, tighterReport } from '../admission/levelReport.js';
 
 /** Share of an entry that one onward call takes along. */
-const kLentShare = 2 / 3;
+const kReservedShare = 2 / 3;
 
 interface LedgerEntry {
   remaining: number;
   level: LevelReport;
   retriedBelow: boolean;
-  onwardCalls: number;
-  openOnward: number;
+  downstreamCalls: number;
+  openDownstreamCalls: number;
   /** Time with at least one onward call open, in milliseconds. */
   waitedMs: number;
-  waitingSince: number;
+  waitingSinceMs: number;
 }
 
 /** What a ledger entry tells once its call has ended. */
@@ -32,7 +32,7 @@
   /** Tightest admission level met below. */
   level: LevelReport;
   retriedBelow: boolean;
-  onwardCalls: number;
+  downstreamCalls: number;
   /** Time that the target waited for its own onward calls, in milliseconds. */
   waitedMs: number;
 }
@@ -52,10 +52,10 @@
       remaining: allowance,
       level: kOpenReport,
       retriedBelow: false,
-      onwardCalls: 0,
-      openOnward: 0,
+      downstreamCalls: 0,
+      openDownstreamCalls: 0,
       waitedMs: 0,
-      waitingSince: 0,
+      waitingSinceMs: 0,
     });
   }
 
@@ -73,7 +73,7 @@
     if (!entry) {
       return 0;
     }
-    const share = Math.ceil(entry.remaining * kLentShare);
+    const share = Math.ceil(entry.remaining * kReservedShare);
     entry.remaining -= share;
     return share;
   }
@@ -94,30 +94,30 @@
   }
 
   /** Notes that an onward call began; `now` in milliseconds. */
-  beginOnward(id: string, now: number): void {
+  beginDownstreamCall(id: string, now: number): void {
     const entry = this._entries.get(id);
     if (!entry) {
       return;
     }
-    entry.onwardCalls++;
-    if (entry.openOnward === 0) {
-      entry.waitingSince = now;
+    entry.downstreamCalls++;
+    if (entry.openDownstreamCalls === 0) {
+      entry.waitingSinceMs = now;
     }
-    entry.openOnward++;
+    entry.openDownstreamCalls++;
   }
 
   /** Notes the end of an onward call, and takes back what it left unspent. */
-  endOnward(id: string, now: number, end: { unspent: number; level: LevelReport; final: boolean }): void {
+  endDownstreamCall(id: string, now: number, result: { unspent: number; level: LevelReport; final: boolean }): void {
     const entry = this._entries.get(id);
     if (!entry) {
       return;
     }
-    entry.remaining += end.unspent;
-    entry.level = tighterReport(entry.level, end.level);
-    entry.retriedBelow ||= end.final;
-    entry.openOnward--;
-    if (entry.openOnward === 0) {
-      entry.waitedMs += now - entry.waitingSince;
+    entry.remaining += result.unspent;
+    entry.level = tighterReport(entry.level, result.level);
+    entry.retriedBelow ||= result.final;
+    entry.openDownstreamCalls--;
+    if (entry.openDownstreamCalls === 0) {
+      entry.waitedMs += now - entry.waitingSinceMs;
     }
   }
 
@@ -128,13 +128,13 @@
       return undefined;
     }
     this._entries.delete(id);
-    const open = entry.openOnward > 0 ? now - entry.waitingSince : 0;
+    const openMs = entry.openDownstreamCalls > 0 ? now - entry.waitingSinceMs : 0;
     return {
       unspent: entry.remaining,
       level: entry.level,
       retriedBelow: entry.retriedBelow,
-      onwardCalls: entry.onwardCalls,
-      waitedMs: entry.waitedMs + open,
+      downstreamCalls: entry.downstreamCalls,
+      waitedMs: entry.waitedMs + openMs,
     };
   }
 }
--- a/packages/core/src/chain/retryRatio.ts
+++ b/packages/core/src/chain/retryTokenBucket.ts
@@ -5,18 +5,18 @@
 
 /** Token bucket that keeps retries a small share of a service's first attempts. */
 
-const kBurst = 10;
+const kMaxTokens = 10;
 
 /** Retry ratio of one service at one daemon. */
-export class RetryRatio {
-  private _tokens = kBurst;
+export class RetryTokenBucket {
+  private _tokens = kMaxTokens;
 
   /** @param _ratio retries earned per first attempt */
   constructor(private readonly _ratio: () => number) {}
 
   /** Notes a first attempt. */
   earn(): void {
-    this._tokens = Math.min(kBurst, this._tokens + this._ratio());
+    this._tokens = Math.min(kMaxTokens, this._tokens + this._ratio());
   }
 
   /** Takes the right to one retry; false when retries already are too large a share. */
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -21,7 +21,7 @@
 export * from './admission/rootFilter.js';
 export * from './admission/slotGate.js';
 export * from './chain/retryLedger.js';
-export * from './chain/retryRatio.js';
+export * from './chain/retryTokenBucket.js';
 export * from './claims/answerStore.js';
 export * from './claims/claimIndex.js';
 export * from './claims/keySettler.js';
--- a/packages/core/src/procedures/callContext.ts
+++ b/packages/core/src/procedures/callContext.ts
@@ -9,7 +9,7 @@
 import type { LevelReport } from '../admission/levelReport.js';
 import type { RootFilter } from '../admission/rootFilter.js';
 import type { RetryLedger } from '../chain/retryLedger.js';
-import type { RetryRatio } from '../chain/retryRatio.js';
+import type { RetryTokenBucket } from '../chain/retryTokenBucket.js';
 import type { AnswerStore } from '../claims/answerStore.js';
 import type { ClaimIndex } from '../claims/claimIndex.js';
 import type { KeySettler } from '../claims/keySettler.js';
@@ -85,7 +85,7 @@
   picker: TargetPicker;
   rootFilter: RootFilter;
   ledger: RetryLedger;
-  retryRatio: (service: string) => RetryRatio;
+  retryRatio: (service: string) => RetryTokenBucket;
   answers: AnswerStore;
   settler: KeySettler;
   /** Shard of a key; `relay` is the address of the daemon that batches for it, when that is another. */
--- a/packages/core/src/procedures/gateCall.ts
+++ b/packages/core/src/procedures/gateCall.ts
@@ -96,7 +96,7 @@
   return refusal ? { kind: 'not_run' } : { kind: 'completed', totalMs, selfMs: Math.max(0, totalMs - summary.waitedMs) };
 }
 
-const kNoSummary: LedgerSummary = { unspent: 0, level: kOpenReport, retriedBelow: false, onwardCalls: 0, waitedMs: 0 };
+const kNoSummary: LedgerSummary = { unspent: 0, level: kOpenReport, retriedBelow: false, downstreamCalls: 0, waitedMs: 0 };
 
 /**
  * Reason for which a call that was sent provably did not run. A target sheds with 429 or 503 and `Retry-After`; that
@@ -107,7 +107,7 @@
     return 'no_target';
   }
   const shed = end.kind === 'answered' && kShedStatuses.has(end.answer.status) && 'retry-after' in end.answer.headers;
-  return shed && summary.onwardCalls === 0 ? 'target_shed' : undefined;
+  return shed && summary.downstreamCalls === 0 ? 'target_shed' : undefined;
 }
 
 function offerEnd(end: ForwardEnd, summary: LedgerSummary, refusal: ErrorKind | undefined, at: GateOfService): OfferEnd {
--- a/packages/core/src/procedures/serveCall.ts
+++ b/packages/core/src/procedures/serveCall.ts
@@ -27,9 +27,9 @@
     return served;
   }
   const share = ctx.ledger.reserve(parent);
-  ctx.ledger.beginOnward(parent, monotonicMs());
+  ctx.ledger.beginDownstreamCall(parent, monotonicMs());
   const { served, unspent, level, final } = yield* serveSettled(call, ctx, share);
-  ctx.ledger.endOnward(parent, monotonicMs(), { unspent, level, final });
+  ctx.ledger.endDownstreamCall(parent, monotonicMs(), { unspent, level, final });
   return served;
 }
 
--- a/packages/daemon/src/app/callService.ts
+++ b/packages/daemon/src/app/callService.ts
@@ -22,7 +22,7 @@
   type Performers,
   releaseClaim,
   type RetryLedger,
-  RetryRatio,
+  RetryTokenBucket,
   RootFilter,
   runProcedure,
   type ServeContext,
@@ -87,7 +87,7 @@
   readonly settler = new KeySettler();
   readonly answers: AnswerStore;
   private readonly _ids: Ids;
-  private readonly _ratios = new Map<string, RetryRatio>();
+  private readonly _ratios = new Map<string, RetryTokenBucket>();
   private readonly _ordinals = new Map<string, Map<string, number>>();
   private readonly _ctx: ServeContext;
   private _classifier: Classifier;
@@ -324,10 +324,10 @@
     };
   }
 
-  private _ratio(service: string): RetryRatio {
+  private _ratio(service: string): RetryTokenBucket {
     let ratio = this._ratios.get(service);
     if (!ratio) {
-      ratio = new RetryRatio(() => this._cfg.retryRatio);
+      ratio = new RetryTokenBucket(() => this._cfg.retryRatio);
       this._ratios.set(service, ratio);
     }
     return ratio;
--- a/tests/matrix/brokenVariants.ts
+++ b/tests/matrix/brokenVariants.ts
@@ -5,7 +5,7 @@
 
 /** Deliberately broken variants of the core, each without one mechanism: the matrix must catch every one. */
 
-import { ClaimIndex, ConfigFold, Gate, RetryLedger, RetryRatio } from '@gentiandrum/core';
+import { ClaimIndex, ConfigFold, Gate, RetryLedger, RetryTokenBucket } from '@gentiandrum/core';
 import { kAdapter } from './matrixWorld.js';
 
 /** A broken variant: what it leaves out, and the promise that must be seen broken. */
@@ -35,7 +35,7 @@
         replace(RetryLedger.prototype, 'reserve', () => 2),
         replace(RetryLedger.prototype, 'takeOne', () => true),
         replace(RetryLedger.prototype, 'remaining', () => 2),
-        replace(RetryRatio.prototype, 'spend', () => true),
+        replace(RetryTokenBucket.prototype, 'spend', () => true),
       ];
       return () => {
         mends.forEach((mend) => {
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -18,7 +18,7 @@
   type GateContext,
   KeySettler,
   RetryLedger,
-  RetryRatio,
+  RetryTokenBucket,
   RootFilter,
   seededRandom,
   type ServeContext,
@@ -118,7 +118,7 @@
 
   private _makeServe(journal: Journal): ServeContext {
     const { id, candidates, newId, relay, rootOf } = this.plan;
-    const ratio = new RetryRatio(() => 1);
+    const ratio = new RetryTokenBucket(() => 1);
     return {
       daemon: { id, incarnation: this.incarnation, address: id },
       stopping: () => this.stopping,
--- a/tests/retries/ledger.spec.ts
+++ b/tests/retries/ledger.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { kOpenReport, RetryLedger, RetryRatio } from '@gentiandrum/core';
+import { kOpenReport, RetryLedger, RetryTokenBucket } from '@gentiandrum/core';
 import fc from 'fast-check';
 import { describe, it } from '../support/describe.js';
 
@@ -65,7 +65,7 @@
     const share = call.restarts && i > 0 ? ledger.reserve(entry) : (shares[i] ?? 0);
     const end = play(child, share, `${entry}/${i}`);
     retries += end.retries;
-    ledger.endOnward(entry, 0, { unspent: end.unspent, level: kOpenReport, final: false });
+    ledger.endDownstreamCall(entry, 0, { unspent: end.unspent, level: kOpenReport, final: false });
     if (ledger.takeOne(entry)) {
       retries++;
     }
@@ -104,18 +104,18 @@
   it('should count overlapping onward calls once in the time that the target waited', (t) => {
     const ledger = new RetryLedger();
     ledger.open('call', 0);
-    ledger.beginOnward('call', 10);
-    ledger.beginOnward('call', 20);
+    ledger.beginDownstreamCall('call', 10);
+    ledger.beginDownstreamCall('call', 20);
     const end = { unspent: 0, level: kOpenReport, final: false };
-    ledger.endOnward('call', 30, end);
-    ledger.endOnward('call', 50, end);
+    ledger.endDownstreamCall('call', 30, end);
+    ledger.endDownstreamCall('call', 50, end);
     t.is(ledger.close('call', 60)?.waitedMs, 40);
   });
 });
 
 describe('a retry ratio', () => {
   it('should keep retries a small share of first attempts', (t) => {
-    const ratio = new RetryRatio(() => 0.1);
+    const ratio = new RetryTokenBucket(() => 0.1);
     let retries = 0;
     for (let i = 0; i < 1_000; i++) {
       ratio.earn();
