--- a/tests/retries/ledger.spec.ts
+++ b/tests/retries/ledger.spec.ts
@@ -33,29 +33,29 @@
 }));
 
 /** Plays a call with real ledgers, one for each daemon; returns what it left unspent and the retries it made. */
-function play(call: Node, allowance: number, id: string): { unspent: number; retries: number } {
-  let left = allowance;
+function simulateCall(call: Node, allowance: number, id: string): { unspent: number; retries: number } {
+  let remaining = allowance;
   let retries = 0;
   for (let attempt = 0; attempt <= call.failures; attempt++) {
     if (attempt > 0) {
-      if (left === 0) {
+      if (remaining === 0) {
         break;
       }
-      left--;
+      remaining--;
       retries++;
     }
-    const lent = left;
-    left = 0;
-    const below = playChildren(call, lent, `${id}.${attempt}`);
+    const reserved = remaining;
+    remaining = 0;
+    const below = simulateChildren(call, reserved, `${id}.${attempt}`);
     retries += below.retries;
-    left += call.lost && attempt === 0 ? 0 : below.unspent;
+    remaining += call.lost && attempt === 0 ? 0 : below.unspent;
   }
-  return { unspent: left, retries };
+  return { unspent: remaining, retries };
 }
 
-function playChildren(call: Node, lent: number, entry: string): { unspent: number; retries: number } {
+function simulateChildren(call: Node, reserved: number, entry: string): { unspent: number; retries: number } {
   let ledger = new RetryLedger();
-  ledger.open(entry, lent);
+  ledger.open(entry, reserved);
   let retries = 0;
   const shares = call.children.map(() => ledger.reserve(entry));
   if (call.restarts) {
@@ -63,9 +63,9 @@
   }
   call.children.forEach((child, i) => {
     const share = call.restarts && i > 0 ? ledger.reserve(entry) : (shares[i] ?? 0);
-    const end = play(child, share, `${entry}/${i}`);
-    retries += end.retries;
-    ledger.endDownstreamCall(entry, 0, { unspent: end.unspent, level: kOpenReport, final: false });
+    const result = simulateCall(child, share, `${entry}/${i}`);
+    retries += result.retries;
+    ledger.endDownstreamCall(entry, 0, { unspent: result.unspent, level: kOpenReport, final: false });
     if (ledger.takeOne(entry)) {
       retries++;
     }
@@ -77,7 +77,7 @@
   it('should never let a chain retry more often than its root was granted, whatever fails below', (t) => {
     fc.assert(
       fc.property(node, fc.nat(8), (tree, allowance) => {
-        const { unspent, retries } = play(tree, allowance, 'root');
+        const { unspent, retries } = simulateCall(tree, allowance, 'root');
         return retries <= allowance && retries + unspent <= allowance;
       }),
       { seed: kSeed, numRuns: 2_000 },
@@ -106,20 +106,20 @@
     ledger.open('call', 0);
     ledger.beginDownstreamCall('call', 10);
     ledger.beginDownstreamCall('call', 20);
-    const end = { unspent: 0, level: kOpenReport, final: false };
-    ledger.endDownstreamCall('call', 30, end);
-    ledger.endDownstreamCall('call', 50, end);
+    const result = { unspent: 0, level: kOpenReport, final: false };
+    ledger.endDownstreamCall('call', 30, result);
+    ledger.endDownstreamCall('call', 50, result);
     t.is(ledger.close('call', 60)?.waitedMs, 40);
   });
 });
 
 describe('a retry ratio', () => {
   it('should keep retries a small share of first attempts', (t) => {
-    const ratio = new RetryTokenBucket(() => 0.1);
+    const bucket = new RetryTokenBucket(() => 0.1);
     let retries = 0;
     for (let i = 0; i < 1_000; i++) {
-      ratio.earn();
-      retries += ratio.spend() ? 1 : 0;
+      bucket.earn();
+      retries += bucket.spend() ? 1 : 0;
     }
     t.true(retries <= 110, String(retries));
   });
--- a/tests/retries/repeatBudget.spec.ts
+++ b/tests/retries/repeatBudget.spec.ts
@@ -12,13 +12,17 @@
 const kWindowMs = 10_000;
 
 /** Most repeats in any window, beyond what the ratio allows for the first arrivals of that window or the one before. */
-function mostExtra(repeats: readonly number[], arrivals: readonly number[]): number {
-  const within = (times: readonly number[], from: number): number => times.filter((at) => at >= from && at < from + kWindowMs).length;
+function maxExtraRepeats(repeats: readonly number[], arrivals: readonly number[]): number {
+  const countWithin = (times: readonly number[], from: number): number => times.filter((at) => at >= from && at < from + kWindowMs).length;
   return Math.max(
     0,
     ...repeats.map((from) => {
-      const requests = Math.max(within(arrivals, from), within(arrivals, from - kWindowMs), within(arrivals, from - kWindowMs / 2));
-      return within(repeats, from) - kBound.ratio * requests;
+      const requests = Math.max(
+        countWithin(arrivals, from),
+        countWithin(arrivals, from - kWindowMs),
+        countWithin(arrivals, from - kWindowMs / 2),
+      );
+      return countWithin(repeats, from) - kBound.ratio * requests;
     }),
   );
 }
@@ -56,7 +60,7 @@
                 }
               }
             }
-            return mostExtra(repeats, arrivals) <= kBound.extra;
+            return maxExtraRepeats(repeats, arrivals) <= kBound.extra;
           } finally {
             time.restore();
           }
