--- a/packages/core/src/admission/adaptiveLimit.ts
+++ b/packages/core/src/admission/adaptiveLimit.ts
@@ -4,44 +4,45 @@
  */
 
 /**
- * Concurrency limit of one target, from the gate's own evidence.
+ * Adapts the concurrency limit of one target to its self time: the duration of a call without the time that the target
+ * spends waiting for downstream calls. A slow downstream service therefore does not narrow the gates above it.
  *
- * It starts from the announced slots and follows the target's own time per call: the time of a call without what the
- * target spent waiting for its onward calls, so that a slow service further down does not narrow every gate above it.
- * When own time grows the limit is narrowed on trial; if that does not bring own time down, the target merely has become
- * slower, narrowing would only cost throughput, and the trial is taken back.
+ * The limit starts at the announced slots. When self time grows, a trial narrows the limit, and reverts it if self time
+ * does not shrink.
  */
 
 const kWindowMs = 200;
 const kMinSamples = 8;
-/** Share of the limit that must have run at once for a window to tell anything of the limit. */
+/** Share of the limit that the peak concurrency of a window must reach for the window to change the limit. */
 const kMinUtilization = 0.8;
-/** Growth of own time over its baseline that starts a trial. */
+/** Ratio of self time to its baseline above which a trial starts. */
 const kTrialStartGrowth = 1.5;
-/** Growth of own time over its baseline up to which the limit may still grow. */
+/** Ratio of self time to its baseline up to which the limit may grow. */
 const kMaxGrowthToWiden = 1.1;
+/** Factor applied to the limit by each narrowing step. */
 const kNarrowFactor = 0.85;
-/** Share of own time that a trial must gain to be kept. */
+/** Share by which a trial must reduce self time to be kept. */
 const kMinTrialGain = 0.1;
-/** Windows over which a trial narrows the limit. */
+/** Number of windows in which a trial narrows the limit. */
 const kTrialWindows = 3;
-/** The limit grows to this multiple of the announced slots while evidence allows. */
+/** Largest limit, as a multiple of the announced slots. */
 const kMaxShare = 1.5;
-/** The limit may shrink to this share of the announced slots. */
+/** Smallest limit, as a share of the announced slots. */
 const kMinShare = 0.1;
-/** A cold target starts with this share of its limit, which grows with each window in which own time did not grow. */
+/** Share of the limit at which a cold target starts. The share grows with each window in which self time does not grow. */
 const kRampStart = 0.3;
 const kRampFactor = 1.6;
+/** Ratio of a window's self time to the previous window's up to which the ramp advances. */
 const kMaxRampGrowth = 1.2;
-/** Time after which a target counts as warm in any case, in milliseconds. */
+/** Time after the first announcement at which the ramp ends, in milliseconds. */
 const kMaxRampMs = 5_000;
-/** Factor by which the baseline may drift up in a window. */
+/** Largest growth factor of the baseline per window. */
 const kBaselineDrift = 1.01;
 
 interface Trial {
   windows: number;
   previousLimit: number;
-  /** Own time that the trial has to bring down. */
+  /** Mean self time that the trial has to reduce, in milliseconds. */
   referenceMs: number;
 }
 
@@ -59,8 +60,8 @@
   private _targetSheds = 0;
 
   /**
-   * @param _slots slots that the target announced
-   * @param _startedAt time of the target's first announcement, or a time long past for a warm one
+   * @param _slots announced slots of the target
+   * @param _startedAt time of the target's first announcement; `-Infinity` for a warm target
    */
   constructor(
     private _slots: number,
@@ -71,13 +72,13 @@
     this._windowStart = now;
   }
 
-  /** Calls that may run at once as of `now`. */
+  /** Number of calls that may run concurrently at `now`. */
   current(now: number): number {
     const ramp = now - this._startedAt >= kMaxRampMs ? 1 : this._ramp;
     return Math.max(1, Math.floor(this._limit * ramp));
   }
 
-  /** Takes a new announcement. A change of the announced slots starts the evidence afresh. */
+  /** Applies an announcement. A changed number of slots resets the limit, the trial and the baseline. */
   announce(slots: number): void {
     if (slots === this._slots) {
       return;
@@ -88,7 +89,7 @@
     this._baselineMs = 0;
   }
 
-  /** Notes a call that ended. `ownMs` is its time without onward calls, `inFlight` the calls running with it. */
+  /** Records a completed call. `selfMs` excludes time spent in downstream calls; `inFlight` is the number of running calls. */
   recordCompletion(selfMs: number, inFlight: number, now: number): void {
     this._samples++;
     this._sumMs += selfMs;
@@ -98,7 +99,7 @@
     }
   }
 
-  /** Notes that the target itself shed a call while `inFlight` ran: hard evidence that the limit is too wide. */
+  /** Records a call that the target itself shed while `inFlight` calls ran, and narrows the limit at the first of every `kMinSamples`. */
   recordTargetShed(inFlight: number): void {
     this._targetSheds++;
     if (this._targetSheds % kMinSamples === 1) {
@@ -131,7 +132,7 @@
     this._lastMeanMs = meanMs;
   }
 
-  /** The first window of a trial still holds calls from before; own time is compared from the second on. */
+  /** Continues, keeps or reverts a trial. The first window includes earlier calls, so its mean becomes the reference. */
   private _evaluateTrial(trial: Trial, meanMs: number): void {
     trial.windows++;
     if (meanMs <= this._baselineMs * kTrialStartGrowth) {
--- a/packages/core/src/admission/admissionLevel.ts
+++ b/packages/core/src/admission/admissionLevel.ts
@@ -4,41 +4,40 @@
  */
 
 /**
- * Admission level of one gate: calls with a rank at or over it are refused before they queue.
+ * Admission level of one gate: calls with a rank at or above it are refused before they queue.
  *
- * At the end of each window the level moves to the rank up to which arrivals fit what the target can end: a little more
- * while the queue is shorter than wanted, a little less while it is longer. What a move will change is booked in the
- * arrival rates at once, since its effect comes back only after the time of a whole chain.
+ * At the end of each window, the level moves to the rank up to which the arrival rates fit the target's capacity, with a
+ * margin that depends on the queue delay. Newly admitted ranks count in the arrival rates at once, because their calls
+ * arrive only after the duration of a whole chain.
  */
 
 import { kCohorts, kOpenLevel, passesLevel } from './rank.js';
 
 const kWindowMs = 100;
-/** Weight of the newest window in the arrival rates. */
+/** Weight of the latest window in the smoothed arrival rates. */
 const kRateWeight = 0.3;
-/** The same for a window that left slots free: what was before it no longer holds. */
+/** Weight of a window with free slots, which outdates the earlier rates. */
 const kIdleRateWeight = 0.7;
-/** Queue delay that is aimed at, as a share of a call's mean time, and its least value in milliseconds. */
+/** Desired queue delay, as a share of the mean duration of a call, and its minimum in milliseconds. */
 const kDesiredDelayShare = 0.5;
 const kMinDesiredDelayMs = 10;
-/** By how much an empty or a long queue shifts what is let in. */
+/** Largest change of the admitted rate due to the queue delay, as a share of the capacity. */
 const kGain = 0.3;
-/** Largest cut of the level in one window, as a share of what is let in. */
+/** Largest reduction of the admitted rate in one window, as a share of that rate. */
 const kMaxCut = 0.5;
-/** Largest rise in one window, in ranks; it doubles while slots stay free. */
+/** Largest rise of the level in one window, in ranks; it doubles with each consecutive rise while slots are free. */
 const kMaxRise = { goodput: 16, recovery: 64 } as const;
-/** Least arrival rate that is assumed for a rank that is opened, in calls a window. */
+/** Minimum arrival rate assumed for a newly admitted rank, in calls per window. */
 const kMinRatePerRank = 0.01;
 
-/** What the gate tells at the end of a window. */
+/** State of the gate at the end of a window. */
 export interface GateState {
-  /** Time that a call admitted now would wait, in milliseconds. */
+  /** Expected queue delay of a call admitted now, in milliseconds. */
   delayMs: number;
-  /** Mean time of a call at the target, in milliseconds; 0 while none ended. */
+  /** Mean duration of a call at the target, in milliseconds; 0 before the first call ends. */
   meanMs: number;
-  /** Calls that run at once when the target is full. */
+  /** Concurrency limit of the target. */
   limit: number;
-  /** Whether slots are free now. */
   hasFreeSlots: boolean;
 }
 
@@ -46,7 +45,7 @@
 export class AdmissionLevel {
   private _level = kOpenLevel;
   private _consecutiveRises = 0;
-  /** Arrivals a window by rank, smoothed; and those of the present window. */
+  /** Smoothed arrivals per window by rank, and the arrivals of the current window. */
   private readonly _rates = new Float64Array(kOpenLevel);
   private readonly _counts = new Uint32Array(kOpenLevel);
   private _windowStart: number;
@@ -55,8 +54,8 @@
   private _arrivals = 0;
 
   /**
-   * @param _favour what the operator favours, see `overload.favour`
-   * @param _state the gate's state, asked at the end of each window
+   * @param _favour the setting `overload.favour`
+   * @param _state returns the gate's state; called at the end of each window
    */
   constructor(
     private readonly _favour: () => 'goodput' | 'recovery',
@@ -66,13 +65,13 @@
     this._windowStart = now;
   }
 
-  /** The level as of `now`. */
+  /** Returns the level at `now`. */
   current(now: number): number {
     this._roll(now);
     return this._level;
   }
 
-  /** Notes a call that arrived; true when it is admitted. `depth` counts the calls made on the way. */
+  /** Records an arrival and returns whether it is admitted. `depth` is the number of calls above it in the chain. */
   admits(rank: number, depth: number, now: number): boolean {
     this._roll(now);
     this._counts[rank] = (this._counts[rank] ?? 0) + 1;
@@ -80,12 +79,12 @@
     return passesLevel(rank, depth, this._level);
   }
 
-  /** Notes that slots stayed free although calls came. */
+  /** Records that slots are free although calls arrive. */
   recordFreeSlots(): void {
     this._hadFreeSlots = true;
   }
 
-  /** Notes a call that was admitted and shed all the same. */
+  /** Records a call that passed the level but was shed later. */
   recordShed(): void {
     this._shedCount++;
   }
@@ -124,7 +123,7 @@
     this._counts.fill(0);
   }
 
-  /** How much shorter (positive) or longer (negative) than wanted the queue is, from -1 to 1. */
+  /** Deviation of the queue delay from the desired one, from -1 (too long) to 1 (too short). */
   private _queueError(): number {
     if (this._shedCount > 0) {
       return -1;
@@ -137,13 +136,13 @@
     return Math.max(-1, Math.min(1, (desiredMs - delayMs) / desiredMs));
   }
 
-  /** Calls that the target ends in a window when it is full. */
+  /** Calls per window that the target completes at full load. */
   private _capacity(): number {
     const { limit, meanMs } = this._state();
     return meanMs === 0 ? Infinity : (limit * kWindowMs) / meanMs;
   }
 
-  /** Moves the level so that `wanted` calls a window are let in. */
+  /** Moves the level so that `desiredRate` calls per window are admitted, within the limits per window. */
   private _adjustTo(desiredRate: number): void {
     const admitted = this._ratesBelow(0, this._level);
     if (admitted > desiredRate) {
--- a/packages/core/src/admission/admissionQueue.ts
+++ b/packages/core/src/admission/admissionQueue.ts
@@ -4,59 +4,57 @@
  */
 
 /**
- * Queue of calls that wait for a slot, the most important first.
+ * Priority queue of the calls that wait for a slot.
  *
- * Order: rank, then invested work (deeper calls first), then age. Once a queue stands, newer calls go first among
- * equals: they still have the time to be answered.
+ * Calls are ordered by rank, then by depth (deeper first), then by age: oldest first, or newest first in a standing
+ * queue, where newer calls are more likely to meet their deadline.
  */
 
-/** What the queue must know of a call. */
+/** Properties of a call that determine its position in the queue. */
 export interface QueuedCall {
   id: string;
   rank: number;
-  /** Calls made on the way here: the work that would be wasted. */
+  /** Number of calls above this one in the chain, whose work is lost when this call is shed. */
   depth: number;
-  /** Monotonic time at which the call's deadline passes, in milliseconds. */
+  /** Deadline on the monotonic clock, in milliseconds. */
   deadline: number;
   queuedAt: number;
 }
 
 /** Priority queue of one gate. */
 export class AdmissionQueue<T extends QueuedCall> {
-  /** Sorted, the next call to start last. */
+  /** Sorted calls; the next one to start is the last element. */
   private readonly _calls: T[] = [];
 
-  /** Number of waiting calls. */
   get size(): number {
     return this._calls.length;
   }
 
-  /** Waiting calls that would start before a call of this rank. */
+  /** Counts the waiting calls that would start before this call. */
   countAhead(call: QueuedCall): number {
     return this._calls.length - this._position(call, false);
   }
 
-  /** Adds a call. `newestFirst` tells that a queue stands. */
+  /** Adds a call. `newestFirst` places it before waiting calls of the same rank and depth. */
   add(call: T, newestFirst: boolean): void {
     this._calls.splice(this._position(call, newestFirst), 0, call);
   }
 
-  /** Takes the most important call. */
+  /** Removes and returns the most important call. */
   takeMostImportant(): T | undefined {
     return this._calls.pop();
   }
 
-  /** The least important call. */
   leastImportant(): T | undefined {
     return this._calls[0];
   }
 
-  /** Takes the least important call. */
+  /** Removes and returns the least important call. */
   takeLeastImportant(): T | undefined {
     return this._calls.shift();
   }
 
-  /** Takes a call out; false when it does not wait. */
+  /** Removes a call; false when it is not in the queue. */
   remove(id: string): boolean {
     const index = this._calls.findIndex((call) => call.id === id);
     if (index < 0) {
@@ -66,7 +64,7 @@
     return true;
   }
 
-  /** Takes every call out. */
+  /** Removes and returns all calls. */
   takeAll(): T[] {
     return this._calls.splice(0);
   }
@@ -87,7 +85,6 @@
   }
 }
 
-/** Whether `waiting` starts after `call`. */
 function startsAfter(waiting: QueuedCall, call: QueuedCall, newestFirst: boolean): boolean {
   if (waiting.rank !== call.rank) {
     return waiting.rank > call.rank;
--- a/packages/core/src/admission/callRatios.ts
+++ b/packages/core/src/admission/callRatios.ts
@@ -4,23 +4,23 @@
  */
 
 /**
- * Learns which calls a target makes for which requests: a regression of the calls that begin on its host on the runs that
- * started there, over short samples. Runs of different routes fluctuate independently, which is what tells them apart.
+ * Estimates how many downstream calls a run of each route makes, by a least-squares regression of the calls that start on
+ * a host on the runs that start there, over short samples. It relies on independent fluctuation of the routes' runs.
  */
 
-/** Weight that older samples keep with each new one: evidence fades over some hundred samples. */
+/** Factor applied to the weight of earlier samples at each new sample. */
 const kSampleDecay = 0.995;
-/** Rounds of coordinate descent when the ratios are solved; more change nothing visible for a handful of routes. */
+/** Rounds of coordinate descent per solution. */
 const kDescentRounds = 25;
-/** Ratio below which a route is taken not to make the call: noise of the fit, measured on streams of independent routes. */
+/** Ratios below this value are treated as noise of the fit. */
 const kMinRatio = 0.25;
-/** Runs of a route that must have been seen before its ratios count. */
+/** Runs of a route that are required before its ratios are used. */
 const kMinRuns = 30;
-/** Runs and samples after which a route's ratios are taken as known, also that there are none. */
+/** Runs and samples of a route after which its ratios count as estimated, even if there are none. */
 const kMinRunsToEstimate = 100;
 const kMinSamplesToEstimate = 25;
 
-/** Calls that follow runs on one host. */
+/** Estimated downstream calls per run, for the routes of one host. */
 export class CallRatios {
   private _runs = new Map<string, number>();
   private _calls = new Map<string, number>();
@@ -30,31 +30,31 @@
   private readonly _runProducts = new Map<string, Map<string, number>>();
   private readonly _callProducts = new Map<string, Map<string, number>>();
   private _ratios = new Map<string, Map<string, number>>();
-  /** Ratios that were learned before this start, or on another host. */
+  /** Ratios estimated by an earlier process of this daemon or on another host. */
   private readonly _restored = new Map<string, ReadonlyMap<string, number>>();
 
-  /** Takes what was learned before; it counts until as many runs were seen here. */
+  /** Sets the ratios of a route that are used until the route is estimated locally. */
   restore(route: string, calls: ReadonlyMap<string, number>): void {
     this._restored.set(route, calls);
   }
 
-  /** Routes whose calls are known. */
+  /** Routes whose ratios are estimated, locally or by restored data. */
   estimatedRoutes(): string[] {
     return [...new Set([...this._totalRuns.keys(), ...this._restored.keys()])].filter((route) => this.isEstimated(route));
   }
 
-  /** Notes that a run of a route started. */
+  /** Records the start of a run of a route. */
   recordRun(route: string): void {
     add(this._runs, route, 1);
     add(this._totalRuns, route, 1);
   }
 
-  /** Notes that a call on a route began on this host. */
+  /** Records a call to a route that starts on this host. */
   recordCall(route: string): void {
     add(this._calls, route, 1);
   }
 
-  /** Closes the current sample. */
+  /** Closes the current sample and adds it to the regression. */
   closeSample(): void {
     this._samples++;
     for (const route of this._runs.keys()) {
@@ -80,7 +80,7 @@
     this._calls = new Map();
   }
 
-  /** Solves the ratios anew from all samples. */
+  /** Recomputes the ratios from all samples. */
   solve(): void {
     this._ratios = new Map();
     for (const [call, products] of this._callProducts) {
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Whether enough runs of a route were seen, over enough samples, to know its calls. */
+  /** Whether the ratios of a route are restored or based on enough runs and samples. */
   isEstimated(route: string): boolean {
     return this._restored.has(route) || this._isEstimatedLocally(route);
   }
@@ -104,13 +104,13 @@
     );
   }
 
-  /** Calls for one run of a route, by the route of the call. */
+  /** Estimated number of calls per run of a route, by the called route. */
   callsOf(route: string): ReadonlyMap<string, number> {
     const restored = this._isEstimatedLocally(route) ? undefined : this._restored.get(route);
     return restored ?? this._ratios.get(route) ?? kNoCalls;
   }
 
-  /** Least squares without negative ratios, by coordinate descent. */
+  /** Solves the non-negative least-squares problem for one called route by coordinate descent. */
   private _solveFor(products: ReadonlyMap<string, number>): Map<string, number> {
     const ratios = new Map<string, number>();
     for (let round = 0; round < kDescentRounds; round++) {
--- a/packages/core/src/admission/chainModel.ts
+++ b/packages/core/src/admission/chainModel.ts
@@ -4,9 +4,9 @@
  */
 
 /**
- * What one daemon knows of the chains behind routes: the levels met on them, which are made by targets, and how deep they go.
- * Each daemon learns its routes' levels from the answers it gets, and adds what it meets below to what it reports, so a level
- * at the bottom reaches the daemons where requests enter, hop by hop, with the answers themselves.
+ * Tracks, for each route, the levels of its downstream chain, whether the route is internal, and the length of the chain.
+ * Gates report these values with their responses. A daemon includes the downstream levels in its own reports, so levels
+ * propagate hop by hop to the daemons where requests enter.
  */
 
 import { monotonicMs } from '../util/clock.js';
@@ -14,29 +14,25 @@
 import { CallRatios } from './callRatios.js';
 import type { LearnedChains } from './learnedChains.js';
 
-/** Age up to which a host's level counts as it is, in milliseconds; the newest one is halved with each such time after. */
+/** Age up to which a host's level is fresh, in milliseconds; also the half-life of the newest level once none is fresh. */
 const kReportFreshMs = 1_000;
-/**
- * Time for which the level of a route is taken as it was worked out, in milliseconds, but for lower ones, which count at once: a
- * twentieth of the time in which a change of level shows at a gate. Each call and each answer asks for levels; looking through those
- * of 100 hosts takes 2.9 microseconds, this 0.2 (`bench:choice`, warm).
- */
+/** Time for which the level of a route is cached, in milliseconds; lower levels apply at once. Each call and response reads it. */
 const kLevelCacheMs = 50;
-/** How often samples are closed and ratios solved, in milliseconds. */
+/** Intervals at which samples are closed and call ratios are computed, in milliseconds. */
 const kSampleMs = 200;
 const kSolveMs = 1_000;
-/** Part of a level that each hop passes on: a loop that the fit made up dies out. */
+/** Factor applied to a level at each hop, so that levels decay in a loop caused by wrong call ratios. */
 const kLevelFactorPerHop = 0.98;
-/** Longest chain that is told apart. */
+/** Largest chain length that is reported. */
 const kMaxChainLength = 64;
 
-/** What a gate says of a route with each answer. */
+/** Report of a gate on a route, sent with each response. */
 export interface RouteReport {
-  /** Share of people's requests on this route to turn away where they enter. */
+  /** Share of the external requests on this route to reject where they enter. */
   level: number;
-  /** Whether only targets call the route; undefined while that isn't known. */
+  /** Whether only targets call the route; undefined while this is unknown. */
   inner: boolean | undefined;
-  /** Longest chain of calls below the route. */
+  /** Length of the longest downstream call chain. */
   height: number;
 }
 
@@ -50,11 +46,11 @@
   height: number;
   /** Levels by the host that reported them. */
   levels: Map<string, HostLevel>;
-  /** The level as it was last worked out. */
+  /** Level as last computed, with its time. */
   cachedLevel: HostLevel;
 }
 
-/** Chains as one daemon knows them. */
+/** Downstream chains of routes, as known to one daemon. */
 export class ChainModel {
   private readonly _internalRoutes = new InternalRouteDetector();
   private readonly _ratios = new CallRatios();
@@ -62,38 +58,37 @@
   private _sampledAt = monotonicMs();
   private _solvedAt = monotonicMs();
 
-  /** Notes a call that came to the gate of this host. */
+  /** Records a call that arrived at the gate of this host. */
   recordArrival(route: string, callerService: string, keyed = false): void {
     this._internalRoutes.recordArrival(route, callerService, keyed);
   }
 
-  /** Notes that the target of this host began a run. */
+  /** Records the start of a run at the target of this host. */
   recordRun(route: string): void {
     this._ratios.recordRun(route);
   }
 
-  /** Notes a request that entered at this host; only calls of the target tell something of its runs. */
+  /** Records a request that entered at this host. Only requests on internal routes count as calls of the target. */
   recordEntry(route: string): void {
     if (this.isInternal(route) === true) {
       this._ratios.recordCall(route);
     }
   }
 
-  /** Learns from an answer of a host's gate to a request that entered at this host. */
+  /** Applies the report of a host's gate in the response to a request that entered at this host. */
   recordReport(route: string, host: string, report: RouteReport): void {
     const state = this._getOrCreateState(route);
     state.inner = report.inner ?? state.inner;
     state.height = report.height;
     const now = monotonicMs();
-    // As it is: a gate's level is a sum over time already, and a mean here would add 0.2 s a hop to the time in which a step of the
-    // level shows at the gate, beyond which the level swings.
+    // Levels are not smoothed here: gates integrate them over time already, and the additional delay would make them oscillate.
     state.levels.set(host, { level: report.level, at: now });
     state.cachedLevel.level = Math.min(state.cachedLevel.level, report.level);
   }
 
   /**
-   * Share of people's requests on a route to turn away, as of now: the lowest level of the hosts heard of lately, as work goes
-   * where there is room, and nobody is turned away while there is some.
+   * Share of the external requests on a route to reject now: the lowest fresh level of the hosts, because calls are routed
+   * to hosts with capacity.
    */
   level(route: string): number {
     const state = this._routes.get(route);
@@ -107,12 +102,12 @@
     return state.cachedLevel.level;
   }
 
-  /** Whether only targets call the route, as far as this daemon was told. */
+  /** Whether only targets call the route, by the reports received; undefined while this is unknown. */
   isInternal(route: string): boolean | undefined {
     return this._routes.get(route)?.inner;
   }
 
-  /** What the gate of this host reports of a route, its own level included. */
+  /** Report of this host's gate on a route, including the gate's own level. */
   report(route: string, gateLevel: number): RouteReport {
     let level = gateLevel;
     let height = 0;
@@ -123,7 +118,7 @@
     return { level, inner: this._internalRoutes.isInternal(route), height };
   }
 
-  /** Sum over the calls that follow a run of a route, of a value for one call on the route of the call. */
+  /** Sums `valueOf` over the downstream calls of one run of a route. `valueOf` returns the value per call of a called route. */
   sumDownstream(route: string, valueOf: (call: string) => number): number {
     let sum = 0;
     for (const [call, ratio] of this._ratios.callsOf(route)) {
@@ -132,21 +127,21 @@
     return sum;
   }
 
-  /** Whether enough runs of a route were seen to know the chain below it. */
+  /** Whether the downstream calls of a route are estimated. */
   isEstimated(route: string): boolean {
     return this._ratios.isEstimated(route);
   }
 
   /**
-   * What is known of the routes that run here, for the time after a restart: without it a daemon turns nobody away, and repeats
-   * next to nothing, until it has seen some seconds of load.
+   * Learned data of the routes that run here, to restore after a restart. Without it, a daemon applies no downstream levels
+   * and grants few repeats until it has processed some seconds of load.
    */
   learned(): LearnedChains {
     const calls = this._ratios.estimatedRoutes().map((route) => [route, Object.fromEntries(this._ratios.callsOf(route))] as const);
     return { calls: Object.fromEntries(calls), inner: this._internalRoutes.classifications() };
   }
 
-  /** Takes what was learned before, or on another host of the service; what is seen here takes its place. */
+  /** Restores data learned earlier or on another host of the service. Local observations replace it. */
   restore({ calls, inner }: LearnedChains): void {
     for (const [route, ratios] of Object.entries(calls)) {
       this._ratios.restore(route, new Map(Object.entries(ratios)));
@@ -156,14 +151,14 @@
     }
   }
 
-  /** Hears from other hosts which routes only targets call; answers to calls from here tell the same later. */
+  /** Adds classifications from other hosts for routes that have none yet. Later reports replace them. */
   mergeInternalRoutes(inner: Readonly<Record<string, boolean>>): void {
     for (const [route, internal] of Object.entries(inner)) {
       this._getOrCreateState(route).inner ??= internal;
     }
   }
 
-  /** Closes samples as time goes; called a few times a second. */
+  /** Closes samples and computes call ratios when they are due; called a few times a second. */
   step(): void {
     const now = monotonicMs();
     if (now - this._sampledAt >= kSampleMs) {
--- a/packages/core/src/admission/gate.ts
+++ b/packages/core/src/admission/gate.ts
@@ -4,9 +4,9 @@
  */
 
 /**
- * Gate of one target: the only way to it. Decides at once whether a call starts, waits or is refused.
+ * Gate of one target, which all calls to the target pass. It decides at once whether a call starts, waits or is refused.
  *
- * Without I/O: `onStart` and `onShed` tell the surroundings what became of a waiting call.
+ * It does no I/O: `onStart` and `onShed` report the outcome of a waiting call.
  */
 
 import type { ErrorKind } from '../errors/errorKind.js';
@@ -16,29 +16,30 @@
 import { AdmissionQueue, type QueuedCall } from './admissionQueue.js';
 import { kOpenLevel } from './rank.js';
 
-/** Longest queue, in calls. */
+/** Maximum queue length, in calls. */
 const kMaxQueue = 2_048;
-/** Share of a call's remaining time that it may spend waiting here. */
+/** Share of a call's slack (remaining time minus the mean duration) that it may spend in the queue. */
 const kMaxWaitShare = 0.5;
-/** Weight of the newest call in the mean time per call. */
+/** Weight of the latest call in the mean duration. */
 const kMeanWeight = 0.05;
+/** Wait of the least important call above which the queue is a standing queue, in milliseconds. */
 const kStandingQueueMs = 20;
-/** Share of the limit below which slots count as free. */
+/** Share of the limit below which the gate counts as having free slots. */
 const kFreeBelowShare = 0.9;
 
-/** Fate of an offered call. */
+/** Decision on an offered call. */
 export type GateDecision = { kind: 'started' } | { kind: 'queued' } | { kind: 'refused'; reason: ErrorKind };
 
-/** How a started call ended. `totalMs` is its time at the target, `ownMs` the same without the time of onward calls. */
+/** Result of a started call. `totalMs` is its duration at the target, and `selfMs` excludes time spent in downstream calls. */
 export type GateResult = { kind: 'completed'; totalMs: number; selfMs: number } | { kind: 'shed_by_target' } | { kind: 'not_run' };
 
-/** What a gate tells its surroundings. */
+/** Callbacks for waiting calls. */
 export interface GateEvents<T extends QueuedCall> {
   onStart(call: T): void;
   onShed(call: T, reason: ErrorKind): void;
 }
 
-/** Why a gate takes no new work. */
+/** Why a gate accepts no calls. */
 export type ClosedReason = 'target_leaving' | 'stopping' | 'no_target';
 
 /** Gate of one target. */
@@ -61,48 +62,48 @@
     this._limit = new AdaptiveLimit(slots, startedAt, now);
   }
 
-  /** Calls at the target. */
+  /** Number of calls that run at the target. */
   get inFlight(): number {
     return this._running.size;
   }
 
-  /** Calls that wait for a slot. */
+  /** Number of calls that wait for a slot. */
   get queued(): number {
     return this._queue.size;
   }
 
-  /** Calls that may run at once. */
+  /** Number of calls that may run concurrently. */
   get limit(): number {
     return this._limit.current(monotonicMs());
   }
 
-  /** Current admission level. */
+  /** Current admission level; open while the gate is closed. */
   get level(): number {
     return this._closed ? kOpenLevel : this._level.current(monotonicMs());
   }
 
-  /** Why the gate is closed, if it is. */
+  /** Why the gate is closed; undefined while it is open. */
   get closed(): ClosedReason | undefined {
     return this._closed;
   }
 
-  /** Mean time of a call at the target, in milliseconds; 0 until one ended. */
+  /** Mean duration of a call at the target, in milliseconds; 0 before the first call ends. */
   get meanMs(): number {
     return this._meanMs;
   }
 
-  /** A call that runs at the target. */
+  /** Returns a call that runs at the target. */
   runningCall(id: string): T | undefined {
     return this._running.get(id);
   }
 
-  /** Takes the target's latest announcement of its slots. */
+  /** Applies the slots that the target announced. */
   announce(slots: number): void {
     this._limit.announce(slots);
     this._startWaiting();
   }
 
-  /** Takes no new work from now on, and hands back what waits. What runs is left to end. */
+  /** Stops accepting calls and sheds the waiting ones. Running calls continue. */
   close(reason: ClosedReason): void {
     this._closed = reason;
     for (const call of this._queue.takeAll()) {
@@ -110,12 +111,12 @@
     }
   }
 
-  /** Takes work again. */
+  /** Accepts calls again. */
   reopen(): void {
     this._closed = undefined;
   }
 
-  /** Decides on a call. A call that is queued is reported later by `onStart` or `onShed`. */
+  /** Decides on a call. The outcome of a queued call is reported by `onStart` or `onShed`. */
   offer(call: T): GateDecision {
     if (this._closed) {
       return { kind: 'refused', reason: this._closed };
@@ -134,7 +135,7 @@
     return this._enqueue(call, now);
   }
 
-  /** Notes that a started call ended, and starts what waits. */
+  /** Records the result of a started call, and starts waiting calls. */
   callEnded(id: string, result: GateResult): void {
     if (!this._running.has(id)) {
       return;
@@ -146,7 +147,7 @@
     this._startWaiting();
   }
 
-  /** Cancels a call; true when it had not started, and never will. */
+  /** Cancels a waiting call; false when it is not in the queue. */
   cancel(id: string): boolean {
     return this._queue.remove(id);
   }
--- a/packages/core/src/admission/gateLevel.ts
+++ b/packages/core/src/admission/gateLevel.ts
@@ -4,47 +4,44 @@
  */
 
 /**
- * Share of people's requests that a gate wants to be turned away where they enter, because it has more work than slots.
+ * Share of the external requests that a gate asks entry daemons to reject, because it receives more work than it can run.
  *
- * An integrator on the work that comes to the gate: what ran, what was refused, and what was added to the queue. It settles
- * where that is just what the slots can do, with a short queue that keeps them busy.
+ * An integral controller on the offered work: completed work, refused work and the growth of the queue. It settles where
+ * the offered work matches the capacity of the slots, with a short queue that keeps them busy.
  */
 
-/** Wait that is aimed at, as a share of the time that calls may wait. */
+/** Desired queue wait, as a share of the time that calls may wait. */
 const kDesiredWaitShare = 0.25;
-/** Weight of the wait, as a multiple of the aimed one, beside the excess of work. */
+/** Weight of the relative deviation from the desired wait, compared with the excess of work. */
 const kWaitWeight = 0.05;
-/** Largest multiple of the aimed wait that counts. */
+/** Largest ratio of the wait to the desired wait that is taken into account. */
 const kMaxWaitRatio = 4;
 /**
- * Change of the level a second for an excess of one, while the level is 0. A change shows at the gate after the time of a chain,
- * up to a second under load; twice this swings (`tests/admission`).
+ * Change of the level per second for an excess of 1, at level 0. Too high a gain makes the level oscillate, because a change
+ * reaches the gate only after the duration of a chain.
  */
 const kGain = 0.8;
 /**
- * The gain follows the share that is let in, down to this: the higher the level, the more work one step of it moves. With the same
- * gain at all levels a gate that is asked for 2.2 times its work, and sees a step after 1.1 s, is kept 78% busy and refuses a
- * quarter; so it is 99% and refuses nothing.
+ * Minimum of the admitted share by which the gain is multiplied. At a high level, a step changes more of the admitted work, and
+ * the full gain would make the level oscillate.
  */
 const kMinGainShare = 0.25;
-/** Largest excess that counts either way, so that a short rush doesn't close everything. */
+/** Largest absolute excess that is taken into account, so that a short burst does not raise the level too far. */
 const kMaxExcess = 0.7;
 /**
- * Share of arrivals that may be refused for want of room while the slots look idle. Beyond it the level rises by the excess: without this
- * a limit that no slot shows (100 connections where 120 calls were let in) had a service refuse six calls of ten for the rest of a day
- * with its level at 0. Busy slots are steered by their work alone: with this at all times, the same 18 s of a steady overload at 63 hosts
- * refused 0.155 of the requests in place of 0.121, and were worth 0.646 in place of 0.701 (one pair, played at once).
+ * Share of arrivals that may be refused for lack of capacity while the slots look idle. Above it, the level rises with the excess:
+ * a limit other than the slots, such as connections, causes the refusals. With busy slots, only the work determines the level.
  */
 const kToleratedRefusalShare = 0.1;
-/** Work done, as a share of what the slots can do, below which they look idle. */
+/** Completed work, as a share of the capacity of the slots, below which the slots look idle. */
 const kIdleWorkShare = 0.8;
-/** Time in which the weight of an arrival in that share is halved, in milliseconds, and the fewest arrivals that it is told from. */
+/** Half-life of an arrival's weight in the refused share, in milliseconds, and the minimum number of arrivals to compute it. */
 const kRefusalHalfLifeMs = 500;
 const kMinArrivals = 5;
-/** Weight of the newest call in the mean time that calls may wait. */
+/** Weight of the latest call in the mean time that calls may wait. */
 const kAllowedWaitWeight = 0.02;
 
-/** Level of one gate: 0 turns nobody away, 1 everybody. */
+/** Level of one gate: 0 rejects no external request, 1 rejects all. */
 export class GateLevel {
   private _level = 0;
   private _workMs = 0;
@@ -54,30 +51,30 @@
   private _arrivals = 0;
   private _refused = 0;
 
-  /** The level as of the last step. */
+  /** Level after the last step. */
   get current(): number {
     return this._level;
   }
 
-  /** Notes a call that came; `toleratedMs` is the time that it may wait. */
+  /** Records an arrival; `allowedWaitMs` is the time that the call may wait. */
   recordArrival(allowedWaitMs: number): void {
     this._arrivals++;
     this._meanAllowedWaitMs += (allowedWaitMs - this._meanAllowedWaitMs) * (this._meanAllowedWaitMs === 0 ? 1 : kAllowedWaitWeight);
   }
 
-  /** Notes work that was done, in milliseconds of the whole gate: of a call, over the slots. */
+  /** Records completed work, in milliseconds of the whole gate: the duration of a call divided by the number of slots. */
   recordWork(ms: number): void {
     this._workMs += ms;
     this._completedWorkMs += ms;
   }
 
-  /** Notes a call that the gate could not start; `ms` is the work that it would have been, as for {@link recordWork}. */
+  /** Records a refused call; `ms` is its expected work, in the unit of {@link recordWork}. */
   recordRefusal(ms: number): void {
     this._refused++;
     this._workMs += ms;
   }
 
-  /** Steers over the time since the last step; `waitMs` is the time that a call at the end of the queue would wait. */
+  /** Updates the level for the time since the last step; `waitMs` is the expected wait of a call at the end of the queue. */
   step(waitMs: number, elapsedMs: number): void {
     const offeredLoad = (this._workMs + waitMs - this._lastWaitMs) / elapsedMs;
     const desiredWaitMs = this._meanAllowedWaitMs * kDesiredWaitShare;
@@ -90,7 +87,7 @@
     this._lastWaitMs = waitMs;
   }
 
-  /** Share of lately refused arrivals beyond the tolerated one; `-Infinity` when there is none, or the slots are busy. */
+  /** Recently refused share of arrivals above the tolerated share; `-Infinity` when it is not above, or the slots are busy. */
   private _refusalExcess(elapsedMs: number): number {
     const idle = this._completedWorkMs < kIdleWorkShare * elapsedMs;
     const share = idle && this._arrivals >= kMinArrivals ? this._refused / this._arrivals : 0;
--- a/packages/core/src/admission/internalRouteDetector.ts
+++ b/packages/core/src/admission/internalRouteDetector.ts
@@ -4,13 +4,13 @@
  */
 
 /**
- * Tells the calls that targets make from the requests of people. Nothing in a call names its root, but people's requests begin
- * on hosts of every service, and a target's calls only on hosts of the services whose work makes them.
+ * Detects internal routes, which only targets call. Calls do not identify their root request, but external requests arrive
+ * from hosts of every service, and calls of targets only from hosts of the services that make them.
  */
 
-/** Arrivals on a route before it is judged: by then some request of a person would have come from any given service. */
+/** Arrivals before a route is classified, enough for external requests to have come from hosts of every service. */
 const kMinArrivals = 60;
-/** Arrivals after which the counts are halved, so that a route whose use changes is judged anew. */
+/** Number of arrivals on a route at which the counts are halved, so that the classification follows changes in use. */
 const kHalveAtArrivals = 2_000;
 
 interface RouteCallers {
@@ -18,21 +18,21 @@
   byService: Map<string, number>;
 }
 
-/** Who calls which route, as one gate sees it. */
+/** Classifies routes by the callers that one gate receives. */
 export class InternalRouteDetector {
   private readonly _routes = new Map<string, RouteCallers>();
   private readonly _allCallers = new Map<string, number>();
-  /** Judgements from before this start, or of another host. */
+  /** Classifications by an earlier process of this daemon or by another host. */
   private readonly _restored = new Map<string, boolean>();
-  /** Routes on which requests with keys came. */
+  /** Routes that received requests with API keys. */
   private readonly _keyedRoutes = new Set<string>();
 
-  /** Takes an earlier judgement; it counts until there are enough arrivals here. */
+  /** Sets the classification that is used until enough calls have arrived. */
   restore(route: string, internal: boolean): void {
     this._restored.set(route, internal);
   }
 
-  /** Judgements of all routes that could be judged. */
+  /** Whether a route is internal, for all classified routes. */
   classifications(): Record<string, boolean> {
     const routes = new Set([...this._routes.keys(), ...this._restored.keys()]);
     return Object.fromEntries(
@@ -43,7 +43,7 @@
     );
   }
 
-  /** Notes an arrival on a route from a host of a service; `keyed` when it carried a key, as only people's requests do. */
+  /** Records an arrival from a host of a service; `keyed` when it has an API key, as only external requests do. */
   recordArrival(route: string, callerService: string, keyed = false): void {
     if (keyed) {
       this._keyedRoutes.add(route);
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Whether only targets call the route; undefined while that isn't known. */
+  /** Whether only targets call the route; undefined while the route is not classified. */
   isInternal(route: string): boolean | undefined {
     if (this._keyedRoutes.has(route)) {
       return false;
--- a/packages/core/src/admission/learnedChains.ts
+++ b/packages/core/src/admission/learnedChains.ts
@@ -3,10 +3,10 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What the daemon of a host has learned of the routes that run there; it holds for all hosts of the service. */
+/** Data that a daemon learned about the routes that run on its host. It applies to all hosts of the service. */
 export interface LearnedChains {
-  /** Calls that a run of a route makes: their number by their own route. */
+  /** Calls per run of each route, by the called route. */
   calls: Record<string, Record<string, number>>;
-  /** Whether only targets call a route. */
+  /** Whether only targets call a route, by route. */
   inner: Record<string, boolean>;
 }
--- a/packages/core/src/admission/levelReport.ts
+++ b/packages/core/src/admission/levelReport.ts
@@ -3,23 +3,23 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What an answer brings back of the admission levels met on its way: the tightest one, and the service that set it. */
+/** Tightest admission level on the path of a call, which its response reports, and the service that set it. */
 
 import { kOpenLevel } from './rank.js';
 
-/** The tightest level below a call. */
+/** Tightest admission level on the path of a call. */
 export interface LevelReport {
   level: number;
-  /** Service whose gate set the level; empty when no gate was met. */
+  /** Service whose gate set the level; empty when the call passed no gate. */
   service: string;
-  /** Set when the service had no target at all. */
+  /** True when the service had no target. */
   absent?: boolean;
 }
 
-/** Report of a way that met no gate. */
+/** Report of a call that passed no gate. */
 export const kOpenReport: LevelReport = { level: kOpenLevel, service: '' };
 
-/** The tighter of two reports. */
+/** Returns the tighter of two reports. An absent service is tighter than any level. */
 export function tighterReport(a: LevelReport, b: LevelReport): LevelReport {
   if (a.absent === true || b.absent === true) {
     return a.absent === true ? a : b;
--- a/packages/core/src/admission/notRunReason.ts
+++ b/packages/core/src/admission/notRunReason.ts
@@ -3,17 +3,14 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Why a call is known not to have run: one closed list for gates, links and targets. */
+/** Reasons for which a call did not run, shared by gates, links and targets. */
 
 import type { GateRefusal } from './slotGate.js';
 
-/** Why a call is known not to have run. */
+/** Why a call certainly did not run. */
 export type NotRunReason = GateRefusal | 'no_connection' | 'target_refused' | 'wrong_instance' | 'cancelled';
 
-/**
- * Whether a call that has not run for this reason is work that the gate had no room for. The others say nothing of room: the gate was
- * not the one that was meant, has no target behind it, may not repeat, or its target refuses by itself, which fewer arrivals don't mend.
- */
+/** Whether the reason is a lack of capacity at the gate, which fewer arrivals would relieve. */
 export function isCapacityRefusal(reason: NotRunReason): boolean {
   switch (reason) {
     case 'overloaded':
--- a/packages/core/src/admission/rootAdmission.ts
+++ b/packages/core/src/admission/rootAdmission.ts
@@ -4,24 +4,22 @@
  */
 
 /**
- * Decides where a person's request enters whether it is let in, given the level met on its chain: the level is the share of such
- * requests that is turned away, the least urgent first.
+ * Admits or rejects external requests where they enter, by the level of their chain: the share of external requests to reject,
+ * the least urgent first.
  *
- * Shares are of the requests seen lately, so that one step of a level moves the same part of the load whatever the mix of
- * priorities. With priorities taken as equally common, a step moved up to three times as much where most requests are of the
- * lowest one, and the level swung between letting in what fails half way and refusing while there was room.
+ * The shares refer to the recent mix of priorities, so that a change of the level rejects the same share of the load in any mix.
  */
 
-/** Time in which the weight of a request in the mix is halved, in milliseconds: long enough for some tens of requests. */
+/** Half-life of a request's weight in the mix of priorities, in milliseconds. */
 const kHalfLifeMs = 3_000;
 
-/** Admission of people's requests at one daemon. */
+/** Admission of external requests at one daemon. */
 export class RootAdmission {
-  /** Requests lately met by a level, by priority. */
+  /** Exponentially decaying count of the requests that had a level above 0, by priority. */
   private readonly _weights = new Map<number, number>();
   private _decayedAt = 0;
 
-  /** Whether a request of a priority (0 is the most urgent) is let in; `draw` is uniform from 0 to 1, `now` in milliseconds. */
+  /** Whether a request is admitted. Priority 0 is the most urgent; `draw` is uniform from 0 to 1; `now` is in milliseconds. */
   admits(priority: number, level: number, draw: number, now: number): boolean {
     if (level <= 0) {
       return true;
--- a/packages/core/src/admission/rootFilter.ts
+++ b/packages/core/src/admission/rootFilter.ts
@@ -4,29 +4,29 @@
  */
 
 /**
- * Early refusal where a request enters: a request that would be shed further down is refused before its first hop.
+ * Refuses requests where they enter if a downstream gate would shed them.
  *
- * Answers bring back the tightest admission level met on their way, and the service that set it. The filter keeps one
- * level per service, which any answer refreshes, and for each request class the service that narrowed it last: a class
- * that is shed altogether here still hears from the answers of others when that service opens again.
+ * Responses report the tightest admission level on their path and the service that set it. The filter keeps one level per
+ * service, shared by all request classes, and for each class the service that restricted it last. A class that is refused
+ * entirely therefore recovers by the responses to other classes.
  */
 
 import type { LevelReport } from './levelReport.js';
 import { kOpenLevel } from './rank.js';
 
-/** Time over which a level follows the answers, in milliseconds. */
+/** Time constant with which a level follows the reports, in milliseconds. */
 const kSmoothingMs = 50;
-/** How a level that nothing is heard of opens by itself. */
+/** How the level of a service rises again without reports. */
 export interface ReopenPolicy {
-  /** Time without any answer about a service after which its level begins to open, in milliseconds. */
+  /** Time without a report on a service after which its level starts to rise, in milliseconds. */
   idleMs: number;
-  /** Ranks by which it then opens per millisecond. */
+  /** Rise in ranks per millisecond, by the setting `overload.favour`. */
   ranksPerMs: { goodput: number; recovery: number };
 }
 
-/** Where requests enter: what opens too early wastes the work of a whole chain. */
+/** Policy where requests enter. It is slow, because reopening too early wastes the work of a whole chain. */
 export const kRootReopenPolicy: ReopenPolicy = { idleMs: 500, ranksPerMs: { goodput: 0.1, recovery: 0.5 } };
-/** At a gate on the way: the root guards the chain, and a stale level here would tell it wrong. */
+/** Policy at a gate within the chain. It is fast, because the gate would report a stale level to the root. */
 export const kGateReopenPolicy: ReopenPolicy = { idleMs: 150, ranksPerMs: { goodput: 3, recovery: 3 } };
 
 interface ServiceLevel {
@@ -34,7 +34,7 @@
   at: number;
 }
 
-/** Levels at one daemon. */
+/** Known levels of downstream services at one daemon. */
 export class RootFilter {
   private readonly _services = new Map<string, ServiceLevel>();
   private readonly _restrictingServices = new Map<string, string>();
@@ -44,22 +44,22 @@
     private readonly _reopenPolicy: ReopenPolicy = kRootReopenPolicy,
   ) {}
 
-  /** Level of a class as of `now`. */
+  /** Returns the level of a request class at `now`. */
   level(className: string, now: number): number {
     return this._serviceLevel(this._restrictingServices.get(className) ?? '', now);
   }
 
-  /** Whether a root request may enter. */
+  /** Whether a root request of this class and rank is admitted. */
   admits(className: string, rank: number, now: number): boolean {
     return rank < this.level(className, now);
   }
 
-  /** Service that narrowed a class last, by its level or because it had no target. */
+  /** Service that last restricted a class, by its level or because it had no target; undefined when none did. */
   restrictingService(className: string): string | undefined {
     return this._restrictingServices.get(className);
   }
 
-  /** Takes what the answer to a root request of a class brought back. */
+  /** Applies the report in the response to a request of a class. */
   update(className: string, report: LevelReport, now: number): void {
     if (report.service === '') {
       return;
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Takes the level of a service's gate, from any answer. */
+  /** Applies a reported level of a service's gate. */
   updateService(service: string, level: number, now: number): void {
     if (service === '') {
       return;
--- a/packages/core/src/admission/slotGate.ts
+++ b/packages/core/src/admission/slotGate.ts
@@ -4,24 +4,24 @@
  */
 
 /**
- * Gate of one target with a known number of slots: the only way to it. Decides at once whether a call starts, waits or is
- * refused, and never lets more calls run than the target has slots for.
+ * Gate of one target with a known number of slots, which all calls to the target pass. It decides at once whether a call
+ * starts, waits or is refused, and never runs more calls than the target has slots.
  *
- * Without I/O: `onStart` and `onRefuse` tell the surroundings what became of a waiting call.
+ * It does no I/O: `onStart` and `onRefuse` report the outcome of a waiting call.
  */
 
 import { monotonicMs } from '../util/clock.js';
 
-/** Share of the slots that is used: some targets slow down when they are nearly full. */
+/** Share of the slots that is used, because some targets slow down when they are nearly full. */
 const kUsedSlotShare = 0.95;
-/** Weight of the newest run in the mean time per run. */
+/** Weight of the latest run in the mean duration. */
 const kMeanWeight = 0.05;
-/** Longest queue as a multiple of the slots; beyond it waiting can't help. */
+/** Maximum queue length, as a multiple of the limit. */
 const kQueuePerSlot = 8;
-/** Shares of the slots that a target gets at first after its start, and after each second up to all. */
+/** Shares of the slots that are used while a cold target has more than one second left to warm up, and in the last second. */
 const kColdSlotShares = [0.5, 0.75] as const;
 
-/** Why a gate refuses a call. None of these has run. */
+/** Why a gate refuses a call. A refused call has not run. */
 export type GateRefusal =
   | 'not_accepting'
   | 'unreachable'
@@ -29,21 +29,21 @@
   | 'repeat_budget'
   | 'wait_too_long'
   | 'key_not_valid'
-  /** Targets may have ended by its kind, and it can't be tried here now. */
+  /** Requests with its fingerprint are suspected of crashing targets, and no probe can run here now. */
   | 'suspected'
-  /** Targets have ended by its kind: it does not run. */
+  /** Requests with its fingerprint have crashed targets and are quarantined. */
   | 'quarantined';
 
-/** A call that asks to be let in. */
+/** A call offered to a gate. */
 export interface GatedCall {
   id: number;
-  /** Time up to which it may wait, on the monotonic clock; who has to start sooner goes first. */
+  /** Latest start on the monotonic clock, in milliseconds. Waiting calls start in this order. */
   waitUntil: number;
-  /** Rank of a person's request, 0 the most urgent; calls of targets have none, as what they are for is not known. */
+  /** Rank of an external request, 0 for the most urgent; undefined for calls of targets, whose root request is unknown. */
   rank?: number | undefined;
 }
 
-/** What a gate tells its surroundings. */
+/** Callbacks for waiting calls. */
 export interface SlotGateEvents<T extends GatedCall> {
   onStart(call: T): void;
   onRefuse(call: T, reason: GateRefusal): void;
@@ -51,42 +51,41 @@
 
 /** Gate of one target. */
 export class SlotGate<T extends GatedCall> {
-  /** Waiting calls, the one that has to start soonest first. */
+  /** Waiting calls, sorted by their latest start. */
   private readonly _queue: T[] = [];
   private readonly _running = new Set<number>();
   private _slots = 0;
-  /** Why nothing is taken; undefined while calls are. */
+  /** Why the gate refuses all calls; undefined while it is open. */
   private _closedReason: GateRefusal | undefined = 'not_accepting';
   private _meanMs = 0;
   private _warmFrom = 0;
 
-  /** @param _connections how many connections the target accepts, as known now: each running call takes one */
+  /** @param _connections returns the number of connections that the target accepts; each running call uses one */
   constructor(
     private readonly _events: SlotGateEvents<T>,
     private readonly _connections: () => number = () => Infinity,
   ) {}
 
-  /** Calls at the target. */
+  /** Number of calls that run at the target. */
   get inFlight(): number {
     return this._running.size;
   }
 
-  /** Calls that wait. */
   get queued(): number {
     return this._queue.length;
   }
 
-  /** Calls that may run at once: no more than there are slots and connections for. */
+  /** Number of calls that may run concurrently, limited by slots and connections. */
   get limit(): number {
     return Math.max(1, Math.min(Math.floor(this._slots * kUsedSlotShare * this._coldShare()), this._connections()));
   }
 
-  /** Mean time of a run, in milliseconds; 0 until one ended. */
+  /** Mean duration of a run, in milliseconds; 0 before the first run ends. */
   get meanMs(): number {
     return this._meanMs;
   }
 
-  /** Takes calls from now on; the target stays slow after its start until `warmFrom`, on the monotonic clock. */
+  /** Accepts calls. The target counts as cold until `warmFrom`, on the monotonic clock. */
   open(slots: number, warmFrom: number): void {
     this._slots = slots;
     this._warmFrom = warmFrom;
@@ -94,7 +93,7 @@
     this._startWaiting();
   }
 
-  /** Takes no new calls, and refuses those that wait. What runs is left to end. */
+  /** Stops accepting calls and refuses the waiting ones. Running calls continue. */
   close(reason: GateRefusal = 'not_accepting'): void {
     this._closedReason = reason;
     for (const call of this._queue.splice(0)) {
@@ -102,7 +101,7 @@
     }
   }
 
-  /** Decides on a call; `started` and `refused` are final, a queued call is reported later. */
+  /** Decides on a call. The outcome of a queued call is reported by `onStart` or `onRefuse`. */
   offer(call: T): { kind: 'started' } | { kind: 'queued' } | { kind: 'refused'; reason: GateRefusal } {
     if (this._closedReason) {
       return { kind: 'refused', reason: this._closedReason };
@@ -122,8 +121,8 @@
   }
 
   /**
-   * Lets a call take the place of a less urgent one that waits before it, when it can start in time then: the less urgent is shed first,
-   * also where it came first. Calls of targets give way to nobody, as the work above them would be lost.
+   * Queues a call in place of the least urgent external request ahead of it, if that request is less urgent and the call can then
+   * start in time. Calls of targets are never displaced, because the work of their callers would be lost.
    */
   private _displace(call: T, position: number, now: number): { kind: 'queued' } | { kind: 'refused'; reason: GateRefusal } {
     const startsAt = now + (position * this._meanMs) / this.limit;
@@ -137,7 +136,7 @@
     return { kind: 'queued' };
   }
 
-  /** The call of the largest rank above `rank` among the first `count` that wait. */
+  /** Finds the call with the largest rank above `rank` among the first `count` waiting calls. */
   private _findLeastUrgent(count: number, rank: number): T | undefined {
     let least: T | undefined;
     for (const waiting of this._queue.slice(0, count)) {
@@ -148,7 +147,7 @@
     return least;
   }
 
-  /** Notes that a started call ended; `ranMs` is its time at the target, undefined when that tells nothing. */
+  /** Records that a started call ended. `ranMs` is its duration at the target; undefined leaves the mean duration as it is. */
   callEnded(id: number, ranMs?: number): void {
     if (!this._running.delete(id)) {
       return;
@@ -159,7 +158,7 @@
     this._startWaiting();
   }
 
-  /** Takes back a call that waits; false when it has started. */
+  /** Removes a waiting call; false when it is not in the queue. */
   withdraw(call: T): boolean {
     const index = this._queue.indexOf(call);
     if (index < 0) {
@@ -169,7 +168,7 @@
     return true;
   }
 
-  /** Refuses calls whose wait is over; called a few times a second or more. */
+  /** Refuses calls whose latest start has passed; called at least a few times a second. */
   expire(): void {
     const now = monotonicMs();
     while (this._queue[0] && this._queue[0].waitUntil <= now) {
@@ -184,7 +183,7 @@
     }
   }
 
-  /** Place in the queue, behind all that have to start no later. */
+  /** Position in the queue, after all calls with the same or an earlier latest start. */
   private _positionFor(call: T): number {
     let low = 0;
     let high = this._queue.length;
--- a/tests/admission/chainModel.spec.ts
+++ b/tests/admission/chainModel.spec.ts
@@ -9,8 +9,8 @@
 
 const kServices = ['archive', 'defects', 'switching', 'hazards'];
 
-describe('caller mix', () => {
-  it('should know a call of targets by the services that never make it', (t) => {
+describe('internal route detector', () => {
+  it('should classify a route as internal when hosts of some services never call it', (t) => {
     const detector = new InternalRouteDetector();
     for (let i = 0; i < 200; i++) {
       detector.recordArrival('lookup', kServices[i % kServices.length] ?? '');
@@ -21,7 +21,7 @@
     t.is(detector.isInternal('never seen'), undefined);
   });
 
-  it('should not judge a route from a few calls', (t) => {
+  it('should not classify a route from a few calls', (t) => {
     const detector = new InternalRouteDetector();
     kServices.forEach((service) => {
       detector.recordArrival('lookup', service);
@@ -32,7 +32,7 @@
 });
 
 describe('call ratios', () => {
-  it('should tell which of two routes makes the calls, and how many, though both follow the same wave of load', (t) => {
+  it('should attribute downstream calls to the right route when the load of two routes is correlated', (t) => {
     const random = seededRandom(7);
     const ratios = new CallRatios();
     const drawCount = (mean: number): number => Array.from({ length: 4 * mean }, random).filter((draw) => draw < 0.25).length;
@@ -61,7 +61,7 @@
   const kStepMs = 100;
   const kAllowedWaitMs = 150;
 
-  /** A gate with a queue, whose offered work follows the level of some steps ago, and is `demand` without any. */
+  /** Simulates a gate with a queue. The offered work is `demand` at level 0 and follows the level with a delay of some steps. */
   function simulateGate(demand: (step: number) => number, steps: number): { level: number; done: number; waitMs: number }[] {
     const kDelaySteps = 4;
     const level = new GateLevel();
@@ -81,7 +81,7 @@
 
   const mean = (values: number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length;
 
-  it('should settle where the slots are busy and the queue is short', (t) => {
+  it('should settle with busy slots and a short queue', (t) => {
     for (const demand of [1.1, 1.3, 1.8, 3]) {
       const settled = simulateGate(() => demand, 250).slice(120);
       t.true(mean(settled.map(({ done }) => done)) > 0.95);
@@ -89,9 +89,9 @@
     }
   });
 
-  it('should keep a gate busy without a swing at steady overload, also when a step of the level shows late', (t) => {
-    // The pattern of a deep chain over a narrow service: two thirds of the requests are of the lowest priority, and the refused
-    // share shows at the gate after up to 1.1 s. Bounds: a swing of the level leaves 0.78 to 0.87 done, and up to 0.26 refused.
+  it('should keep a gate busy without oscillation under constant overload, also when level changes take effect late', (t) => {
+    // Models a deep chain with a bottleneck service: two thirds of the requests have the lowest priority, and a change of the level
+    // takes effect at the gate after up to 1.1 s. An oscillating level leaves slots idle and refuses calls at the gate.
     for (const delaySteps of [5, 8, 11]) {
       for (const demand of [1.0, 1.1, 1.5, 2.2]) {
         const admission = new RootAdmission();
@@ -121,7 +121,7 @@
     }
   });
 
-  it('should be open again soon after a rush, and hardly close a gate whose slots are enough', (t) => {
+  it('should return to 0 soon after a burst, and stay near 0 while the slots suffice', (t) => {
     const after = simulateGate((step) => (step < 50 ? 2 : 0.5), 110);
     t.true((after[49]?.level ?? 0) > 0.3);
     t.is(after[80]?.level, 0);
@@ -131,10 +131,10 @@
 });
 
 describe('root admission', () => {
-  /** Priorities as they come, in turn: two thirds of the lowest one. */
+  /** Priorities of successive requests, repeated: two thirds have the lowest one. */
   const kMix = [2, 0, 2, 1, 2, 2];
 
-  /** Share of each priority that is let in at a level, of requests that come every 10 ms. */
+  /** Returns the admitted share of each priority and of all requests at a level, with one request every 10 ms. */
   function admitted(mix: readonly number[], level: number): { shares: number[]; all: number } {
     const admission = new RootAdmission();
     const random = seededRandom(5);
@@ -150,7 +150,7 @@
     return { shares: admittedCounts.map((count, priority) => count / (arrivals[priority] ?? 1)), all };
   }
 
-  it('should turn the less urgent away first, and nobody at level 0', (t) => {
+  it('should reject less urgent requests first, and none at level 0', (t) => {
     t.deepEqual(admitted(kMix, 0).shares, [1, 1, 1]);
     const some = admitted(kMix, 0.3).shares;
     t.is(some[0], 1);
@@ -163,7 +163,7 @@
     t.deepEqual(admitted(kMix, 1).shares, [0, 0, 0]);
   });
 
-  it('should turn away the share that the level says, whatever the mix of priorities', (t) => {
+  it('should reject the share given by the level for any mix of priorities', (t) => {
     for (const mix of [kMix, [0], [2, 2, 2, 0], [1, 0, 0, 0, 0, 0]]) {
       for (const level of [0.1, 0.3, 0.6, 0.9]) {
         t.true(Math.abs(admitted(mix, level).all - (1 - level)) < 0.03);
@@ -173,7 +173,7 @@
 });
 
 describe('chain model', () => {
-  itAlone('should report the level that its own target met below, for the routes that lead there and no others', (t) => {
+  itAlone('should include downstream levels in the reports of routes that call the affected route, and of no others', (t) => {
     const time = new VirtualTime();
     const chains = new ChainModel();
     const random = seededRandom(3);
@@ -200,7 +200,7 @@
     time.restore();
   });
 
-  itAlone('should turn nobody away while some host has room, and forget hosts that are not heard of', (t) => {
+  itAlone('should reject no requests while a host has capacity, and ignore hosts without recent reports', (t) => {
     const time = new VirtualTime();
     const chains = new ChainModel();
     const reportLevel = (host: string, level: number): void => {
@@ -218,10 +218,10 @@
     time.restore();
   });
 
-  itAlone('should know chains at once from what was learned before, and what it sees itself takes its place', (t) => {
+  itAlone('should use restored data at once, and replace it by local observations', (t) => {
     const time = new VirtualTime();
     const random = seededRandom(11);
-    /** Runs of a route that makes so many calls, over some seconds. */
+    /** Simulates 30 s of runs of a route that make `callsOfRun` downstream calls each. */
     const simulateRuns = (chains: ChainModel, callsOfRun: number): void => {
       for (let sample = 0; sample < 150; sample++) {
         time.runUntil(time.now + 200);
--- a/tests/admission/gate.spec.ts
+++ b/tests/admission/gate.spec.ts
@@ -49,7 +49,7 @@
     });
   });
 
-  itAlone('should start the most important waiting call first, and deeper ones before fresh ones', (t) => {
+  itAlone('should start the most important waiting call first, and deeper calls before root calls of the same rank', (t) => {
     withHeldClock(() => {
       const recorder = createRecorder();
       const gate = new Gate(1, () => 'goodput', recorder, kWarm);
@@ -65,7 +65,7 @@
     });
   });
 
-  itAlone('should never start a call whose deadline passed while it waited', (t) => {
+  itAlone('should never start a call whose deadline passed in the queue', (t) => {
     withHeldClock((clock) => {
       const recorder = createRecorder();
       const gate = new Gate(1, () => 'goodput', recorder, kWarm);
@@ -78,7 +78,7 @@
     });
   });
 
-  itAlone('should never start a call that was cancelled while it waited', (t) => {
+  itAlone('should never start a call that was cancelled in the queue', (t) => {
     withHeldClock(() => {
       const recorder = createRecorder();
       const gate = new Gate(1, () => 'goodput', recorder, kWarm);
@@ -91,7 +91,7 @@
     });
   });
 
-  itAlone('should hand back what waits when it closes, and let what runs end', (t) => {
+  itAlone('should shed waiting calls when it closes, and keep running calls', (t) => {
     withHeldClock(() => {
       const recorder = createRecorder();
       const gate = new Gate(1, () => 'goodput', recorder, kWarm);
@@ -104,7 +104,7 @@
     });
   });
 
-  itAlone('should hold a cold target back for some seconds when nothing tells that it is warm', (t) => {
+  itAlone('should limit a cold target for five seconds when no call completes', (t) => {
     withHeldClock((clock) => {
       const gate = new Gate(100, () => 'goodput', createRecorder(), 0);
       t.is(gate.limit, 30);
@@ -115,7 +115,7 @@
     });
   });
 
-  itAlone('should never shed a call while it holds a less important one that waits', (t) => {
+  itAlone('should never shed a call while a less important one waits', (t) => {
     const arrival = fc.record({
       importance: fc.nat(3),
       cohort: fc.nat(kCohorts - 1),
@@ -136,7 +136,7 @@
             onShed: ({ id, rank }, reason) => {
               waiting.delete(id);
               if (reason === 'overloaded' && rank < worstWaitingRank()) {
-                throw new Error(`evicted rank ${rank} before rank ${worstWaitingRank()}`);
+                throw new Error(`got rank ${rank} shed, expected rank ${worstWaitingRank()} first`);
               }
             },
           };
@@ -166,7 +166,7 @@
 });
 
 describe('an admission level', () => {
-  itAlone('should tighten under lasting overload and shed the least important first', (t) => {
+  itAlone('should fall under sustained overload and shed the least important calls first', (t) => {
     withHeldClock((clock) => {
       const gate = new Gate(4, () => 'goodput', createRecorder(), kWarm);
       overload(gate, clock, 100);
@@ -176,7 +176,7 @@
     });
   });
 
-  itAlone('should open again within a second of spare capacity, sooner when recovery is favoured', (t) => {
+  itAlone('should reopen within a second of free capacity, and sooner when recovery is favoured', (t) => {
     const timeToOpen = (favour: 'goodput' | 'recovery'): number =>
       withHeldClock((clock) => {
         const gate = new Gate(4, () => favour, createRecorder(), kWarm);
@@ -192,7 +192,7 @@
   });
 });
 
-/** Offers far more than the gate's four slots can end, for some windows; what runs ends after 40 ms. */
+/** Overloads a gate of four slots for `rounds` steps of 10 ms. Each call runs for 40 ms. */
 function overload(gate: Gate<QueuedCall>, clock: { tick: (ms: number) => number }, rounds: number): void {
   const offeredAt = new Map<string, number>();
   for (let round = 0; round < rounds; round++) {
--- a/tests/admission/refusalLevel.spec.ts
+++ b/tests/admission/refusalLevel.spec.ts
@@ -6,7 +6,7 @@
 import { GateLevel, isCapacityRefusal, type NotRunReason, SlotGate } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
-/** All reasons; the type makes a new one miss here until it is named. */
+/** All reasons; the type requires an entry for each new one. */
 const kReasons: Record<NotRunReason, boolean> = {
   overloaded: true,
   wait_too_long: true,
@@ -23,7 +23,7 @@
 };
 const kStepMs = 100;
 
-/** The level after `steps` in which a share of the arrivals is refused and the slots look idle. */
+/** Returns the level after `steps` in which a share of the arrivals is refused and the slots look idle. */
 function simulateRefusals(refusedShare: number, steps: number, meanMs: number): number {
   const level = new GateLevel();
   const perStep = 20;
@@ -39,20 +39,20 @@
   return level.current;
 }
 
-describe('level of a gate that refuses', () => {
-  it('should count each reason as want of room, or say that it is none', (t) => {
+describe('level of a gate that refuses calls', () => {
+  it('should classify each reason as a lack of capacity or not', (t) => {
     for (const [reason, expected] of Object.entries(kReasons)) {
       t.is(isCapacityRefusal(reason as NotRunReason), expected, reason);
     }
   });
 
-  it('should not stay at 0 while more than a tenth of the arrivals is refused for want of room, however idle the slots look', (t) => {
+  it('should rise while more than a tenth of the arrivals is refused for lack of capacity and the slots look idle', (t) => {
     t.true(simulateRefusals(0.2, 10, 0) > 0);
     t.true(simulateRefusals(0.6, 10, 0) > simulateRefusals(0.2, 10, 0));
     t.is(simulateRefusals(0.05, 10, 0), 0);
   });
 
-  it('should be steered by the work alone while the slots are busy', (t) => {
+  it('should depend on the work alone while the slots are busy', (t) => {
     const level = new GateLevel();
     const workOnlyLevel = new GateLevel();
     for (let step = 0; step < 20; step++) {
@@ -72,7 +72,7 @@
     t.is(level.current, workOnlyLevel.current);
   });
 
-  it('should fall again within seconds once nothing is refused', (t) => {
+  it('should fall to 0 within seconds without refusals', (t) => {
     const level = new GateLevel();
     for (let step = 0; step < 50; step++) {
       for (let i = 0; i < 20; i++) {
@@ -88,7 +88,7 @@
 });
 
 describe('limit of a gate', () => {
-  it('should be the lesser of slots and connections, as known when it is used', (t) => {
+  it('should be the minimum of the slots and the current connections', (t) => {
     let connections = 100;
     const gate = new SlotGate({ onStart: () => undefined, onRefuse: () => undefined }, () => connections);
     gate.open(200, 0);
@@ -97,7 +97,7 @@
     t.is(gate.limit, 190);
   });
 
-  it('should say why a closed gate refuses', (t) => {
+  it('should report why a closed gate refuses a call', (t) => {
     const gate = new SlotGate({ onStart: () => undefined, onRefuse: () => undefined });
     t.deepEqual(gate.offer({ id: 1, waitUntil: 0 }), { kind: 'refused', reason: 'not_accepting' });
     gate.open(2, 0);
--- a/tests/admission/slotGate.spec.ts
+++ b/tests/admission/slotGate.spec.ts
@@ -34,13 +34,13 @@
 }
 
 describe('slot gate', () => {
-  itAlone('should refuse everything until its target has spoken', (t) => {
+  itAlone('should refuse all calls until it is opened', (t) => {
     withGate(({ offer }) => {
       t.is(offer(1), 'refused');
     });
   });
 
-  itAlone('should never run more than the slots allow, and start next what can wait least', (t) => {
+  itAlone('should never run more calls than the slots allow, and start waiting calls by their latest start time', (t) => {
     withGate(({ gate, started, offer }) => {
       gate.open(11, 0);
       const kinds = Array.from({ length: 12 }, (_, i) => offer(i));
@@ -54,7 +54,7 @@
     });
   });
 
-  itAlone('should refuse at once what could only wait in vain', (t) => {
+  itAlone('should refuse a call at once when it could not start in time', (t) => {
     withGate(({ gate, offer }) => {
       gate.open(2, 0);
       offer(1);
@@ -65,7 +65,7 @@
     });
   });
 
-  itAlone('should refuse what waited too long, and hand back what waits when it closes', (t) => {
+  itAlone('should refuse calls that waited too long, and all waiting calls when it closes', (t) => {
     withGate(({ time, gate, refused, offer }) => {
       gate.open(1, 0);
       offer(1);
@@ -81,7 +81,7 @@
     });
   });
 
-  itAlone('should withdraw what waits, and only that', (t) => {
+  itAlone('should withdraw only waiting calls', (t) => {
     withGate(({ gate }) => {
       gate.open(1, 0);
       const running = { id: 1, waitUntil: kLongWaitMs };
@@ -94,7 +94,7 @@
     });
   });
 
-  itAlone('should not hold a target back for longer because it was opened again', (t) => {
+  itAlone('should not extend the warm-up of a target when it is reopened', (t) => {
     withGate(({ time, gate }) => {
       gate.open(100, 3_000);
       time.runUntil(2_900);
@@ -106,7 +106,7 @@
     });
   });
 
-  itAlone('should give a cold target less at first', (t) => {
+  itAlone('should use fewer slots while the target is cold', (t) => {
     withGate(({ time, gate }) => {
       gate.open(100, 3_000);
       t.is(gate.limit, 47);
