--- a/packages/core/src/chain/retryLedger.ts
+++ b/packages/core/src/chain/retryLedger.ts
@@ -4,15 +4,15 @@
  */
 
 /**
- * Retry allowances of the calls that a daemon delivered to its target.
+ * Tracks the retry allowances of the calls that a daemon delivered to its target.
  *
- * An allowance is divided and never copied: what a child reserves leaves the parent's entry, and only what the child
- * returns unspent comes back. So over a whole chain no more retries happen than the root was granted.
+ * An allowance is divided and never copied: a child's share leaves the parent's entry, and only the unspent part returns.
+ * A whole chain therefore makes no more retries than its root was granted.
  */
 
 import { kOpenReport, type LevelReport, tighterReport } from '../admission/levelReport.js';
 
-/** Share of an entry that one onward call takes along. */
+/** Share of the remaining allowance that one downstream call reserves. */
 const kReservedShare = 2 / 3;
 
 interface LedgerEntry {
@@ -21,32 +21,31 @@
   retriedBelow: boolean;
   downstreamCalls: number;
   openDownstreamCalls: number;
-  /** Time with at least one onward call open, in milliseconds. */
+  /** Time with at least one open downstream call, in milliseconds. */
   waitedMs: number;
   waitingSinceMs: number;
 }
 
-/** What a ledger entry tells once its call has ended. */
+/** Summary of a closed ledger entry. */
 export interface LedgerSummary {
   unspent: number;
-  /** Tightest admission level met below. */
+  /** Tightest admission level that the downstream calls reported. */
   level: LevelReport;
   retriedBelow: boolean;
   downstreamCalls: number;
-  /** Time that the target waited for its own onward calls, in milliseconds. */
+  /** Time that the target waited for downstream calls, in milliseconds; overlapping calls count once. */
   waitedMs: number;
 }
 
-/** Ledger of the allowances at one daemon. */
+/** Ledger of the retry allowances at one daemon. */
 export class RetryLedger {
   private readonly _entries = new Map<string, LedgerEntry>();
 
-  /** Number of open entries. */
   get size(): number {
     return this._entries.size;
   }
 
-  /** Opens an entry with the allowance that came with a call. */
+  /** Opens an entry with the allowance of a call. */
   open(id: string, allowance: number): void {
     this._entries.set(id, {
       remaining: allowance,
@@ -59,14 +58,14 @@
     });
   }
 
-  /** Whether the entry is open. After a restart of the daemon no earlier entry is. */
+  /** Whether the entry is open. Entries do not survive a restart of the daemon. */
   has(id: string): boolean {
     return this._entries.has(id);
   }
 
   /**
-   * Takes a share for an onward call: two thirds of what remains, rounded up, so that two units reach any depth of a
-   * plain chain, and parallel siblings of a larger allowance find something left. An unknown entry gives zero.
+   * Reserves two thirds of the remaining allowance, rounded up, for a downstream call. An allowance of two then reaches any
+   * depth of a linear chain, and a larger one leaves units for parallel calls. Returns 0 for an unknown entry.
    */
   reserve(id: string): number {
     const entry = this._entries.get(id);
@@ -78,12 +77,12 @@
     return share;
   }
 
-  /** Units left in an entry; zero for an unknown one. */
+  /** Remaining units of an entry; 0 for an unknown one. */
   remaining(id: string): number {
     return this._entries.get(id)?.remaining ?? 0;
   }
 
-  /** Takes one more unit for a call whose own share is used up; false when none is left. */
+  /** Takes one more unit for a downstream call that has spent its share; false when none is left. */
   takeOne(id: string): boolean {
     const entry = this._entries.get(id);
     if (!entry || entry.remaining === 0) {
@@ -93,7 +92,7 @@
     return true;
   }
 
-  /** Notes that an onward call began; `now` in milliseconds. */
+  /** Records the start of a downstream call; `now` is in milliseconds. */
   beginDownstreamCall(id: string, now: number): void {
     const entry = this._entries.get(id);
     if (!entry) {
@@ -106,7 +105,7 @@
     entry.openDownstreamCalls++;
   }
 
-  /** Notes the end of an onward call, and takes back what it left unspent. */
+  /** Records the result of a downstream call and adds its unspent units to the entry. */
   endDownstreamCall(id: string, now: number, result: { unspent: number; level: LevelReport; final: boolean }): void {
     const entry = this._entries.get(id);
     if (!entry) {
@@ -121,7 +120,7 @@
     }
   }
 
-  /** Closes an entry. Shares still lent at that time are spent: their later return finds no entry. */
+  /** Closes an entry; undefined for an unknown one. Shares that are still reserved count as spent. */
   close(id: string, now: number): LedgerSummary | undefined {
     const entry = this._entries.get(id);
     if (!entry) {
--- a/packages/core/src/chain/retryTokenBucket.ts
+++ b/packages/core/src/chain/retryTokenBucket.ts
@@ -3,23 +3,23 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Token bucket that keeps retries a small share of a service's first attempts. */
+/** Token bucket that limits retries to a share of the first attempts. */
 
 const kMaxTokens = 10;
 
-/** Retry ratio of one service at one daemon. */
+/** Limits the retries to one service at one daemon. */
 export class RetryTokenBucket {
   private _tokens = kMaxTokens;
 
-  /** @param _ratio retries earned per first attempt */
+  /** @param _ratio returns the number of retries earned per first attempt */
   constructor(private readonly _ratio: () => number) {}
 
-  /** Notes a first attempt. */
+  /** Adds the tokens for a first attempt. */
   earn(): void {
     this._tokens = Math.min(kMaxTokens, this._tokens + this._ratio());
   }
 
-  /** Takes the right to one retry; false when retries already are too large a share. */
+  /** Takes a token for one retry; false when there is none. */
   spend(): boolean {
     if (this._tokens < 1) {
       return false;
