--- a/packages/core/src/retries/repeatBudget.ts
+++ b/packages/core/src/retries/repeatBudget.ts
@@ -4,51 +4,52 @@
  */
 
 /**
- * Bounds the repeats that one target gets, so that the sum over all targets of a service stays within the service's bound
- * without any daemon asking another.
+ * Limits the repeats that run at one target, so that the sum over all targets of a service stays within the service's bound
+ * without communication between daemons.
  */
 
 import { monotonicMs } from '../util/clock.js';
 
 /**
- * Shares of the service's bound that its targets use up themselves. The calls of a run that was a repeat are repeats too, one
- * level down, so each level may add half of what the level below it may, and all together stay within the bound.
+ * Share of the bound's ratio for routes without downstream calls, and its factor for each level of downstream calls. The
+ * downstream calls of a repeated run are repeats too, so each level adds half as many as the level below, and the sum stays
+ * within the bound.
  */
 const kLeafShare = 0.45;
 const kShareFactorPerLevel = 0.5;
-/** Share while it isn't known how deep the chains below are. */
+/** Share while the length of the downstream call chain is unknown. */
 const kUnknownChainShare = 0.05;
-/** Share of the repeats beyond the ratio. */
+/** Share of the bound's extra repeats that the targets of the service divide among themselves. */
 const kExtraShare = 0.2;
-/** Part of the repeats in stock that calls of targets leave to people's requests. */
+/** Share of the token capacity that calls of targets leave to external requests. */
 const kReservedForExternalShare = 0.6;
 
-/** Bound on repeats of a whole service. */
+/** Bound on the repeats of a whole service. */
 export interface RepeatBound {
-  /** Repeats per first arrival. */
+  /** Repeats per first arrival of a request. */
   ratio: number;
-  /** Repeats beyond that in one window. */
+  /** Additional repeats per window. */
   extra: number;
   /** Length of a window, in seconds. */
   windowSeconds: number;
 }
 
-/** Repeat budget of one target. A new one starts empty: what its predecessor spent in the same window is not known. */
+/** Repeat budget of one target. It starts empty, because an earlier process may have spent tokens in the same window. */
 export class RepeatBudget {
   private _tokens = 0;
   private _refilledAt = monotonicMs();
 
   constructor(private readonly _bound: RepeatBound) {}
 
-  /** Notes the first arrival of a request; `height` is the length of the chain of calls below it, if that is known. */
+  /** Adds tokens for the first arrival of a request. `chainLength` is its longest downstream call chain, if known. */
   earn(chainLength: number | undefined): void {
     const share = chainLength === undefined ? kUnknownChainShare : kLeafShare * kShareFactorPerLevel ** chainLength;
     this._tokens += this._bound.ratio * share;
   }
 
   /**
-   * Takes the right to one repeat; `targets` is the number of targets of the service. A call of a target leaves the last part
-   * to people's requests: when most calls fail, a chain of many is lost anyway, and a single request can still be saved.
+   * Takes a token for one repeat; false when there is none. `targets` is the number of targets of the service. An internal call
+   * leaves some tokens to external requests: when most calls fail, a long chain fails even with repeats, but a single request may succeed.
    */
   spend(targets: number, internal: boolean): boolean {
     const capacity = this._refill(Math.max(1, targets));
@@ -59,7 +60,7 @@
     return true;
   }
 
-  /** Tokens grow with time by this target's share of the extra repeats; at most one window's share is kept for later. */
+  /** Adds this target's share of the extra repeats for the elapsed time, and returns the capacity: one window's share, at least 1. */
   private _refill(targets: number): number {
     const now = monotonicMs();
     const share = (this._bound.extra * kExtraShare) / targets;
--- a/tests/retries/ledger.spec.ts
+++ b/tests/retries/ledger.spec.ts
@@ -9,13 +9,13 @@
 
 const kSeed = 12;
 
-/** A call of a random tree: what befalls it, and the calls below it. */
+/** A call of a random call tree, with the faults that are injected and its downstream calls. */
 interface Node {
-  /** Attempts that fail before one succeeds, as far as the allowance goes. */
+  /** Number of attempts that fail before one succeeds, limited by the allowance. */
   failures: number;
-  /** The answer to an attempt is lost, and its share with it. */
+  /** Whether the response to the first attempt is lost, including its unspent share. */
   lost: boolean;
-  /** The daemon that holds the ledger entry restarts while the children run. */
+  /** Whether the daemon that holds the ledger entry restarts while the children run. */
   restarts: boolean;
   children: Node[];
 }
@@ -32,7 +32,7 @@
   ),
 }));
 
-/** Plays a call with real ledgers, one for each daemon; returns what it left unspent and the retries it made. */
+/** Simulates a call with one ledger per daemon. Returns its unspent allowance and its retries. */
 function simulateCall(call: Node, allowance: number, id: string): { unspent: number; retries: number } {
   let remaining = allowance;
   let retries = 0;
@@ -74,7 +74,7 @@
 }
 
 describe('a retry ledger', () => {
-  it('should never let a chain retry more often than its root was granted, whatever fails below', (t) => {
+  it('should never let a chain make more retries than its root was granted, for any downstream faults', (t) => {
     fc.assert(
       fc.property(node, fc.nat(8), (tree, allowance) => {
         const { unspent, retries } = simulateCall(tree, allowance, 'root');
@@ -85,7 +85,7 @@
     t.pass();
   });
 
-  it('should let two units of three reach a call 28 deep', (t) => {
+  it('should pass two of three units to a call at depth 28', (t) => {
     const ledger = new RetryLedger();
     let share = 3;
     for (let depth = 0; depth < 28; depth++) {
@@ -95,13 +95,13 @@
     t.is(share, 2);
   });
 
-  it('should give nothing to calls of an entry that it does not know', (t) => {
+  it('should grant no units for an unknown entry', (t) => {
     const ledger = new RetryLedger();
     t.is(ledger.reserve('gone'), 0);
     t.false(ledger.takeOne('gone'));
   });
 
-  it('should count overlapping onward calls once in the time that the target waited', (t) => {
+  it('should count overlapping downstream calls once in the time that the target waited', (t) => {
     const ledger = new RetryLedger();
     ledger.open('call', 0);
     ledger.beginDownstreamCall('call', 10);
@@ -113,8 +113,8 @@
   });
 });
 
-describe('a retry ratio', () => {
-  it('should keep retries a small share of first attempts', (t) => {
+describe('a retry token bucket', () => {
+  it('should limit retries to a share of the first attempts', (t) => {
     const bucket = new RetryTokenBucket(() => 0.1);
     let retries = 0;
     for (let i = 0; i < 1_000; i++) {
--- a/tests/retries/repeatBudget.spec.ts
+++ b/tests/retries/repeatBudget.spec.ts
@@ -11,7 +11,7 @@
 const kBound = { ratio: 0.2, extra: 47, windowSeconds: 10 };
 const kWindowMs = 10_000;
 
-/** Most repeats in any window, beyond what the ratio allows for the first arrivals of that window or the one before. */
+/** Returns the most repeats in any window beyond the ratio of the first arrivals in or shortly before that window. */
 function maxExtraRepeats(repeats: readonly number[], arrivals: readonly number[]): number {
   const countWithin = (times: readonly number[], from: number): number => times.filter((at) => at >= from && at < from + kWindowMs).length;
   return Math.max(
@@ -28,7 +28,7 @@
 }
 
 describe('repeat budget', () => {
-  itAlone('should keep the sum over all targets within the bound of the service, whatever the load', (t) => {
+  itAlone('should keep the sum over all targets within the bound of the service under any load', (t) => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 6 }),
@@ -71,7 +71,7 @@
     t.pass();
   });
 
-  itAlone('should start empty: a restart gives no repeats for free', (t) => {
+  itAlone('should start empty, so that a restart grants no repeats', (t) => {
     const time = new VirtualTime();
     t.false(new RepeatBudget(kBound).spend(1, false));
     time.restore();
--- a/tests/retries/timers.spec.ts
+++ b/tests/retries/timers.spec.ts
@@ -8,8 +8,8 @@
 import { onwardCall } from '../matrix/request.js';
 import { describe, itAlone } from '../support/describe.js';
 
-describe('a call that waits for its answer', () => {
-  itAlone('should end, not wait again, when its timer fires a hair before the deadline', (t) => {
+describe('a call that waits for a response', () => {
+  itAlone('should time out instead of waiting again when its timer fires just before the deadline', (t) => {
     const world = new MatrixWorld([], { beta: ['b'] });
     const terms = { root: 'r', attempt: '', path: '', depth: 0, cohort: 0, importance: importanceIndex('normal'), repeatable: false };
     const cls = {
