--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -19,12 +19,12 @@
   type GateContext,
   importanceIndex,
   KeySettler,
-  kOpeningOnTheWay,
+  kGateReopenPolicy,
   type OfferEnd,
   type Procedure,
   type Reply,
   RetryLedger,
-  RetryRatio,
+  RetryTokenBucket,
   RootFilter,
   type ServeContext,
   serveCall,
@@ -327,7 +327,7 @@
       gate,
       target: host.name,
       ledger,
-      below: new RootFilter(favour, kOpeningOnTheWay),
+      below: new RootFilter(favour, kGateReopenPolicy),
       seen: { add: () => true },
       decide: () => undefined,
     };
@@ -335,7 +335,7 @@
   }
 
   private _makeServe(host: Host, ledger: RetryLedger, knownGone: Set<string>): ServeContext {
-    const ratios = new Map<string, RetryRatio>();
+    const ratios = new Map<string, RetryTokenBucket>();
     const candidates = new Map<string, Candidate[]>();
     for (const plan of this._world.deployment.services) {
       candidates.set(
@@ -365,7 +365,7 @@
       rootFilter: new RootFilter(() => this._favour),
       ledger,
       retryRatio: (service) => {
-        const ratio = ratios.get(service) ?? new RetryRatio(() => kRetryRatio);
+        const ratio = ratios.get(service) ?? new RetryTokenBucket(() => kRetryRatio);
         ratios.set(service, ratio);
         return ratio;
       },
--- a/packages/core/src/admission/adaptiveLimit.ts
+++ b/packages/core/src/admission/adaptiveLimit.ts
@@ -4,63 +4,64 @@
  */
 
 /**
- * Concurrency limit of one target, from the gate's own evidence.
+ * Adapts the concurrency limit of one target to its self time: the duration of a call without the time that the target
+ * spends waiting for downstream calls. A slow downstream service therefore does not narrow the gates above it.
  *
- * It starts from the announced slots and follows the target's own time per call: the time of a call without what the
- * target spent waiting for its onward calls, so that a slow service further down does not narrow every gate above it.
- * When own time grows the limit is narrowed on trial; if that does not bring own time down, the target merely has become
- * slower, narrowing would only cost throughput, and the trial is taken back.
+ * The limit starts at the announced slots. When self time grows, a trial narrows the limit, and reverts it if self time
+ * does not shrink.
  */
 
 const kWindowMs = 200;
 const kMinSamples = 8;
-/** Share of the limit that must have run at once for a window to tell anything of the limit. */
-const kBusyShare = 0.8;
-/** Growth of own time over its baseline that starts a trial. */
-const kTolerance = 1.5;
-/** Growth of own time over its baseline up to which the limit may still grow. */
-const kGrowthTolerance = 1.1;
-const kNarrow = 0.85;
-/** Share of own time that a trial must gain to be kept. */
-const kTrialGain = 0.1;
-/** Windows over which a trial narrows the limit. */
+/** Share of the limit that the peak concurrency of a window must reach for the window to change the limit. */
+const kMinUtilization = 0.8;
+/** Ratio of self time to its baseline above which a trial starts. */
+const kTrialStartGrowth = 1.5;
+/** Ratio of self time to its baseline up to which the limit may grow. */
+const kMaxGrowthToWiden = 1.1;
+/** Factor applied to the limit by each narrowing step. */
+const kNarrowFactor = 0.85;
+/** Share by which a trial must reduce self time to be kept. */
+const kMinTrialGain = 0.1;
+/** Number of windows in which a trial narrows the limit. */
 const kTrialWindows = 3;
-/** The limit grows to this multiple of the announced slots while evidence allows. */
-const kMaxGrowth = 1.5;
-/** The limit may shrink to this share of the announced slots. */
+/** Largest limit, as a multiple of the announced slots. */
+const kMaxShare = 1.5;
+/** Smallest limit, as a share of the announced slots. */
 const kMinShare = 0.1;
-/** A cold target starts with this share of its limit, which grows with each window in which own time did not grow. */
+/** Share of the limit at which a cold target starts. The share grows with each window in which self time does not grow. */
 const kRampStart = 0.3;
 const kRampFactor = 1.6;
-const kRampTolerance = 1.2;
-/** Time after which a target counts as warm in any case, in milliseconds. */
-const kRampMs = 5_000;
-/** Factor by which the baseline may drift up in a window. */
+/** Ratio of a window's self time to the previous window's up to which the ramp advances. */
+const kMaxRampGrowth = 1.2;
+/** Time after the first announcement at which the ramp ends, in milliseconds. */
+const kMaxRampMs = 5_000;
+/** Largest growth factor of the baseline per window. */
 const kBaselineDrift = 1.01;
 
 interface Trial {
   windows: number;
-  limitBefore: number;
-  /** Own time that the trial has to bring down. */
-  reference: number;
+  previousLimit: number;
+  /** Mean self time that the trial has to reduce, in milliseconds. */
+  referenceMs: number;
 }
 
 /** Adaptive concurrency limit of one target. */
 export class AdaptiveLimit {
   private _limit: number;
-  private _baseline = 0;
+  private _baselineMs = 0;
   private _trial: Trial | undefined;
   private _samples = 0;
-  private _sum = 0;
+  private _sumMs = 0;
   private _windowStart: number;
   private _ramp = kRampStart;
-  private _lastMean = 0;
-  private _peak = 0;
-  private _sheds = 0;
+  private _lastMeanMs = 0;
+  private _peakInFlight = 0;
+  private _targetSheds = 0;
 
   /**
-   * @param _slots slots that the target announced
-   * @param _startedAt time of the target's first announcement, or a time long past for a warm one
+   * @param _slots announced slots of the target
+   * @param _startedAt time of the target's first announcement; `-Infinity` for a warm target
    */
   constructor(
     private _slots: number,
@@ -71,13 +72,13 @@
     this._windowStart = now;
   }
 
-  /** Calls that may run at once as of `now`. */
+  /** Number of calls that may run concurrently at `now`. */
   current(now: number): number {
-    const ramp = now - this._startedAt >= kRampMs ? 1 : this._ramp;
+    const ramp = now - this._startedAt >= kMaxRampMs ? 1 : this._ramp;
     return Math.max(1, Math.floor(this._limit * ramp));
   }
 
-  /** Takes a new announcement. A change of the announced slots starts the evidence afresh. */
+  /** Applies an announcement. A changed number of slots resets the limit, the trial and the baseline. */
   announce(slots: number): void {
     if (slots === this._slots) {
       return;
@@ -85,77 +86,77 @@
     this._slots = slots;
     this._limit = slots;
     this._trial = undefined;
-    this._baseline = 0;
+    this._baselineMs = 0;
   }
 
-  /** Notes a call that ended. `ownMs` is its time without onward calls, `inFlight` the calls running with it. */
-  completed(ownMs: number, inFlight: number, now: number): void {
+  /** Records a completed call. `selfMs` excludes time spent in downstream calls; `inFlight` is the number of running calls. */
+  recordCompletion(selfMs: number, inFlight: number, now: number): void {
     this._samples++;
-    this._sum += ownMs;
-    this._peak = Math.max(this._peak, inFlight);
+    this._sumMs += selfMs;
+    this._peakInFlight = Math.max(this._peakInFlight, inFlight);
     if (now - this._windowStart >= kWindowMs && this._samples >= kMinSamples) {
       this._adjust(now);
     }
   }
 
-  /** Notes that the target itself shed a call while `inFlight` ran: hard evidence that the limit is too wide. */
-  refused(inFlight: number): void {
-    this._sheds++;
-    if (this._sheds % kMinSamples === 1) {
-      this._limit = this._clamp(Math.min(this._limit, inFlight) * kNarrow);
+  /** Records a call that the target itself shed while `inFlight` calls ran, and narrows the limit at the first of every `kMinSamples`. */
+  recordTargetShed(inFlight: number): void {
+    this._targetSheds++;
+    if (this._targetSheds % kMinSamples === 1) {
+      this._limit = this._clamp(Math.min(this._limit, inFlight) * kNarrowFactor);
     }
   }
 
   private _adjust(now: number): void {
-    const mean = this._sum / this._samples;
-    const busy = this._peak >= this._limit * kBusyShare;
+    const meanMs = this._sumMs / this._samples;
+    const busy = this._peakInFlight >= this._limit * kMinUtilization;
     this._samples = 0;
-    this._sum = 0;
-    this._peak = 0;
+    this._sumMs = 0;
+    this._peakInFlight = 0;
     this._windowStart = now;
-    this._warm(mean);
-    this._baseline = this._baseline === 0 ? mean : Math.min(mean, this._baseline * kBaselineDrift);
+    this._updateRamp(meanMs);
+    this._baselineMs = this._baselineMs === 0 ? meanMs : Math.min(meanMs, this._baselineMs * kBaselineDrift);
     if (this._trial) {
-      this._judgeTrial(this._trial, mean);
-    } else if (busy && mean > this._baseline * kTolerance) {
-      this._trial = { windows: 0, limitBefore: this._limit, reference: mean };
-    } else if (busy && mean <= this._baseline * kGrowthTolerance) {
+      this._evaluateTrial(this._trial, meanMs);
+    } else if (busy && meanMs > this._baselineMs * kTrialStartGrowth) {
+      this._trial = { windows: 0, previousLimit: this._limit, referenceMs: meanMs };
+    } else if (busy && meanMs <= this._baselineMs * kMaxGrowthToWiden) {
       this._limit = this._clamp(this._limit + Math.max(1, Math.sqrt(this._limit) / 2));
     }
   }
 
-  private _warm(mean: number): void {
-    if (this._lastMean === 0 || mean <= this._lastMean * kRampTolerance) {
+  private _updateRamp(meanMs: number): void {
+    if (this._lastMeanMs === 0 || meanMs <= this._lastMeanMs * kMaxRampGrowth) {
       this._ramp = Math.min(1, this._ramp * kRampFactor);
     }
-    this._lastMean = mean;
+    this._lastMeanMs = meanMs;
   }
 
-  /** The first window of a trial still holds calls from before; own time is compared from the second on. */
-  private _judgeTrial(trial: Trial, mean: number): void {
+  /** Continues, keeps or reverts a trial. The first window includes earlier calls, so its mean becomes the reference. */
+  private _evaluateTrial(trial: Trial, meanMs: number): void {
     trial.windows++;
-    if (mean <= this._baseline * kTolerance) {
+    if (meanMs <= this._baselineMs * kTrialStartGrowth) {
       this._trial = undefined;
       return;
     }
     if (trial.windows === 1) {
-      trial.reference = mean;
+      trial.referenceMs = meanMs;
     }
     if (trial.windows <= kTrialWindows) {
-      this._limit = this._clamp(this._limit * kNarrow);
+      this._limit = this._clamp(this._limit * kNarrowFactor);
       return;
     }
-    if (mean < trial.reference * (1 - kTrialGain)) {
-      this._trial = { windows: 1, limitBefore: this._limit, reference: mean };
-      this._limit = this._clamp(this._limit * kNarrow);
+    if (meanMs < trial.referenceMs * (1 - kMinTrialGain)) {
+      this._trial = { windows: 1, previousLimit: this._limit, referenceMs: meanMs };
+      this._limit = this._clamp(this._limit * kNarrowFactor);
       return;
     }
-    this._limit = trial.limitBefore;
-    this._baseline = mean;
+    this._limit = trial.previousLimit;
+    this._baselineMs = meanMs;
     this._trial = undefined;
   }
 
   private _clamp(limit: number): number {
-    return Math.min(Math.max(limit, 1, this._slots * kMinShare), this._slots * kMaxGrowth);
+    return Math.min(Math.max(limit, 1, this._slots * kMinShare), this._slots * kMaxShare);
   }
 }
--- a/packages/core/src/admission/rootAdmission.ts
+++ b/packages/core/src/admission/rootAdmission.ts
@@ -4,45 +4,43 @@
  */
 
 /**
- * Decides where a person's request enters whether it is let in, given the level met on its chain: the level is the share of such
- * requests that is turned away, the least urgent first.
+ * Admits or rejects external requests where they enter, by the level of their chain: the share of external requests to reject,
+ * the least urgent first.
  *
- * Shares are of the requests seen lately, so that one step of a level moves the same part of the load whatever the mix of
- * priorities. With priorities taken as equally common, a step moved up to three times as much where most requests are of the
- * lowest one, and the level swung between letting in what fails half way and refusing while there was room.
+ * The shares refer to the recent mix of priorities, so that a change of the level rejects the same share of the load in any mix.
  */
 
-/** Time in which the weight of a request in the mix is halved, in milliseconds: long enough for some tens of requests. */
+/** Half-life of a request's weight in the mix of priorities, in milliseconds. */
 const kHalfLifeMs = 3_000;
 
-/** Admission of people's requests at one daemon. */
+/** Admission of external requests at one daemon. */
 export class RootAdmission {
-  /** Requests lately met by a level, by priority. */
-  private readonly _met = new Map<number, number>();
-  private _fadedAt = 0;
+  /** Exponentially decaying count of the requests that had a level above 0, by priority. */
+  private readonly _weights = new Map<number, number>();
+  private _decayedAt = 0;
 
-  /** Whether a request of a priority (0 is the most urgent) is let in; `draw` is uniform from 0 to 1, `now` in milliseconds. */
+  /** Whether a request is admitted. Priority 0 is the most urgent; `draw` is uniform from 0 to 1; `now` is in milliseconds. */
   admits(priority: number, level: number, draw: number, now: number): boolean {
     if (level <= 0) {
       return true;
     }
-    this._note(priority, now);
+    this._record(priority, now);
     let total = 0;
     let before = 0;
-    for (const [other, met] of this._met) {
-      total += met;
-      before += other < priority ? met : 0;
+    for (const [other, weight] of this._weights) {
+      total += weight;
+      before += other < priority ? weight : 0;
     }
-    const place = (before + draw * (this._met.get(priority) ?? 0)) / total;
-    return place < 1 - level;
+    const quantile = (before + draw * (this._weights.get(priority) ?? 0)) / total;
+    return quantile < 1 - level;
   }
 
-  private _note(priority: number, now: number): void {
-    const kept = 0.5 ** ((now - this._fadedAt) / kHalfLifeMs);
-    this._fadedAt = now;
-    for (const [other, met] of this._met) {
-      this._met.set(other, met * kept);
+  private _record(priority: number, now: number): void {
+    const decay = 0.5 ** ((now - this._decayedAt) / kHalfLifeMs);
+    this._decayedAt = now;
+    for (const [other, weight] of this._weights) {
+      this._weights.set(other, weight * decay);
     }
-    this._met.set(priority, (this._met.get(priority) ?? 0) + 1);
+    this._weights.set(priority, (this._weights.get(priority) ?? 0) + 1);
   }
 }
--- a/packages/core/src/admission/rootFilter.ts
+++ b/packages/core/src/admission/rootFilter.ts
@@ -4,82 +4,82 @@
  */
 
 /**
- * Early refusal where a request enters: a request that would be shed further down is refused before its first hop.
+ * Refuses requests where they enter if a downstream gate would shed them.
  *
- * Answers bring back the tightest admission level met on their way, and the service that set it. The filter keeps one
- * level per service, which any answer refreshes, and for each request class the service that narrowed it last: a class
- * that is shed altogether here still hears from the answers of others when that service opens again.
+ * Responses report the tightest admission level on their path and the service that set it. The filter keeps one level per
+ * service, shared by all request classes, and for each class the service that restricted it last. A class that is refused
+ * entirely therefore recovers by the responses to other classes.
  */
 
 import type { LevelReport } from './levelReport.js';
 import { kOpenLevel } from './rank.js';
 
-/** Time over which a level follows the answers, in milliseconds. */
-const kFollowMs = 50;
-/** How a level that nothing is heard of opens by itself. */
-export interface Opening {
-  /** Time without any answer about a service after which its level begins to open, in milliseconds. */
-  quietMs: number;
-  /** Ranks by which it then opens per millisecond. */
-  perMs: { goodput: number; recovery: number };
+/** Time constant with which a level follows the reports, in milliseconds. */
+const kSmoothingMs = 50;
+/** How the level of a service rises again without reports. */
+export interface ReopenPolicy {
+  /** Time without a report on a service after which its level starts to rise, in milliseconds. */
+  idleMs: number;
+  /** Rise in ranks per millisecond, by the setting `overload.favour`. */
+  ranksPerMs: { goodput: number; recovery: number };
 }
 
-/** Where requests enter: what opens too early wastes the work of a whole chain. */
-export const kOpeningAtRoot: Opening = { quietMs: 500, perMs: { goodput: 0.1, recovery: 0.5 } };
-/** At a gate on the way: the root guards the chain, and a stale level here would tell it wrong. */
-export const kOpeningOnTheWay: Opening = { quietMs: 150, perMs: { goodput: 3, recovery: 3 } };
+/** Policy where requests enter. It is slow, because reopening too early wastes the work of a whole chain. */
+export const kRootReopenPolicy: ReopenPolicy = { idleMs: 500, ranksPerMs: { goodput: 0.1, recovery: 0.5 } };
+/** Policy at a gate within the chain. It is fast, because the gate would report a stale level to the root. */
+export const kGateReopenPolicy: ReopenPolicy = { idleMs: 150, ranksPerMs: { goodput: 3, recovery: 3 } };
 
 interface ServiceLevel {
   level: number;
   at: number;
 }
 
-/** Levels at one daemon. */
+/** Known levels of downstream services at one daemon. */
 export class RootFilter {
   private readonly _services = new Map<string, ServiceLevel>();
-  private readonly _narrowest = new Map<string, string>();
+  private readonly _restrictingServices = new Map<string, string>();
 
   constructor(
     private readonly _favour: () => 'goodput' | 'recovery',
-    private readonly _opening: Opening = kOpeningAtRoot,
+    private readonly _reopenPolicy: ReopenPolicy = kRootReopenPolicy,
   ) {}
 
-  /** Level of a class as of `now`. */
+  /** Returns the level of a request class at `now`. */
   level(className: string, now: number): number {
-    return this._serviceLevel(this._narrowest.get(className) ?? '', now);
+    return this._serviceLevel(this._restrictingServices.get(className) ?? '', now);
   }
 
-  /** Whether a root request may enter. */
+  /** Whether a root request of this class and rank is admitted. */
   admits(className: string, rank: number, now: number): boolean {
     return rank < this.level(className, now);
   }
 
-  /** Service that narrowed a class last, by its level or because it had no target. */
-  narrowest(className: string): string | undefined {
-    return this._narrowest.get(className);
+  /** Service that last restricted a class, by its level or because it had no target; undefined when none did. */
+  restrictingService(className: string): string | undefined {
+    return this._restrictingServices.get(className);
   }
 
-  /** Takes what the answer to a root request of a class brought back. */
-  learn(className: string, report: LevelReport, now: number): void {
+  /** Applies the report in the response to a request of a class. */
+  update(className: string, report: LevelReport, now: number): void {
     if (report.service === '') {
       return;
     }
     if (report.absent === true) {
-      this._narrowest.set(className, report.service);
+      this._restrictingServices.set(className, report.service);
       return;
     }
     if (report.level < kOpenLevel) {
-      this._narrowest.set(className, report.service);
+      this._restrictingServices.set(className, report.service);
     }
-    this.learnService(report.service, report.level, now);
-    const narrowest = this._narrowest.get(className);
-    if (narrowest !== undefined && narrowest !== report.service) {
-      this.learnService(narrowest, kOpenLevel, now);
+    this.updateService(report.service, report.level, now);
+    const restricting = this._restrictingServices.get(className);
+    if (restricting !== undefined && restricting !== report.service) {
+      this.updateService(restricting, kOpenLevel, now);
     }
   }
 
-  /** Takes the level of a service's gate, from any answer. */
-  learnService(service: string, level: number, now: number): void {
+  /** Applies a reported level of a service's gate. */
+  updateService(service: string, level: number, now: number): void {
     if (service === '') {
       return;
     }
@@ -89,7 +89,7 @@
       return;
     }
     const before = this._serviceLevel(service, now);
-    const weight = 1 - Math.exp(-Math.max(1, now - known.at) / kFollowMs);
+    const weight = 1 - Math.exp(-Math.max(1, now - known.at) / kSmoothingMs);
     known.level = before + (level - before) * weight;
     known.at = now;
   }
@@ -99,7 +99,7 @@
     if (!known) {
       return kOpenLevel;
     }
-    const quietMs = Math.max(0, now - known.at - this._opening.quietMs);
-    return Math.min(kOpenLevel, known.level + quietMs * this._opening.perMs[this._favour()]);
+    const reopeningMs = Math.max(0, now - known.at - this._reopenPolicy.idleMs);
+    return Math.min(kOpenLevel, known.level + reopeningMs * this._reopenPolicy.ranksPerMs[this._favour()]);
   }
 }
--- a/packages/core/src/admission/slotGate.ts
+++ b/packages/core/src/admission/slotGate.ts
@@ -4,24 +4,24 @@
  */
 
 /**
- * Gate of one target with a known number of slots: the only way to it. Decides at once whether a call starts, waits or is
- * refused, and never lets more calls run than the target has slots for.
+ * Gate of one target with a known number of slots, which all calls to the target pass. It decides at once whether a call
+ * starts, waits or is refused, and never runs more calls than the target has slots.
  *
- * Without I/O: `onStart` and `onRefuse` tell the surroundings what became of a waiting call.
+ * It does no I/O: `onStart` and `onRefuse` report the outcome of a waiting call.
  */
 
 import { monotonicMs } from '../util/clock.js';
 
-/** Share of the slots that is used: some targets slow down when they are nearly full. */
-const kUsedSlots = 0.95;
-/** Weight of the newest run in the mean time per run. */
+/** Share of the slots that is used, because some targets slow down when they are nearly full. */
+const kUsedSlotShare = 0.95;
+/** Weight of the latest run in the mean duration. */
 const kMeanWeight = 0.05;
-/** Longest queue as a multiple of the slots; beyond it waiting can't help. */
+/** Maximum queue length, as a multiple of the limit. */
 const kQueuePerSlot = 8;
-/** Shares of the slots that a target gets at first after its start, and after each second up to all. */
-const kColdShares = [0.5, 0.75] as const;
+/** Shares of the slots that are used while a cold target has more than one second left to warm up, and in the last second. */
+const kColdSlotShares = [0.5, 0.75] as const;
 
-/** Why a gate refuses a call. None of these has run. */
+/** Why a gate refuses a call. A refused call has not run. */
 export type GateRefusal =
   | 'not_accepting'
   | 'unreachable'
@@ -29,21 +29,21 @@
   | 'repeat_budget'
   | 'wait_too_long'
   | 'key_not_valid'
-  /** Targets may have ended by its kind, and it can't be tried here now. */
+  /** Requests with its fingerprint are suspected of crashing targets, and no probe can run here now. */
   | 'suspected'
-  /** Targets have ended by its kind: it does not run. */
+  /** Requests with its fingerprint have crashed targets and are quarantined. */
   | 'quarantined';
 
-/** A call that asks to be let in. */
+/** A call offered to a gate. */
 export interface GatedCall {
   id: number;
-  /** Time up to which it may wait, on the monotonic clock; who has to start sooner goes first. */
+  /** Latest start on the monotonic clock, in milliseconds. Waiting calls start in this order. */
   waitUntil: number;
-  /** Rank of a person's request, 0 the most urgent; calls of targets have none, as what they are for is not known. */
+  /** Rank of an external request, 0 for the most urgent; undefined for calls of targets, whose root request is unknown. */
   rank?: number | undefined;
 }
 
-/** What a gate tells its surroundings. */
+/** Callbacks for waiting calls. */
 export interface SlotGateEvents<T extends GatedCall> {
   onStart(call: T): void;
   onRefuse(call: T, reason: GateRefusal): void;
@@ -51,94 +51,93 @@
 
 /** Gate of one target. */
 export class SlotGate<T extends GatedCall> {
-  /** Waiting calls, the one that has to start soonest first. */
+  /** Waiting calls, sorted by their latest start. */
   private readonly _queue: T[] = [];
   private readonly _running = new Set<number>();
   private _slots = 0;
-  /** Why nothing is taken; undefined while calls are. */
-  private _closedFor: GateRefusal | undefined = 'not_accepting';
+  /** Why the gate refuses all calls; undefined while it is open. */
+  private _closedReason: GateRefusal | undefined = 'not_accepting';
   private _meanMs = 0;
   private _warmFrom = 0;
 
-  /** @param _connections how many connections the target accepts, as known now: each running call takes one */
+  /** @param _connections returns the number of connections that the target accepts; each running call uses one */
   constructor(
     private readonly _events: SlotGateEvents<T>,
     private readonly _connections: () => number = () => Infinity,
   ) {}
 
-  /** Calls at the target. */
+  /** Number of calls that run at the target. */
   get inFlight(): number {
     return this._running.size;
   }
 
-  /** Calls that wait. */
   get queued(): number {
     return this._queue.length;
   }
 
-  /** Calls that may run at once: no more than there are slots and connections for. */
+  /** Number of calls that may run concurrently, limited by slots and connections. */
   get limit(): number {
-    return Math.max(1, Math.min(Math.floor(this._slots * kUsedSlots * this._coldShare()), this._connections()));
+    return Math.max(1, Math.min(Math.floor(this._slots * kUsedSlotShare * this._coldShare()), this._connections()));
   }
 
-  /** Mean time of a run, in milliseconds; 0 until one ended. */
+  /** Mean duration of a run, in milliseconds; 0 before the first run ends. */
   get meanMs(): number {
     return this._meanMs;
   }
 
-  /** Takes calls from now on; the target stays slow after its start until `warmFrom`, on the monotonic clock. */
+  /** Accepts calls. The target counts as cold until `warmFrom`, on the monotonic clock. */
   open(slots: number, warmFrom: number): void {
     this._slots = slots;
     this._warmFrom = warmFrom;
-    this._closedFor = undefined;
+    this._closedReason = undefined;
     this._startWaiting();
   }
 
-  /** Takes no new calls, and refuses those that wait. What runs is left to end. */
+  /** Stops accepting calls and refuses the waiting ones. Running calls continue. */
   close(reason: GateRefusal = 'not_accepting'): void {
-    this._closedFor = reason;
+    this._closedReason = reason;
     for (const call of this._queue.splice(0)) {
       this._events.onRefuse(call, reason);
     }
   }
 
-  /** Decides on a call; `started` and `refused` are final, a queued call is reported later. */
+  /** Decides on a call. The outcome of a queued call is reported by `onStart` or `onRefuse`. */
   offer(call: T): { kind: 'started' } | { kind: 'queued' } | { kind: 'refused'; reason: GateRefusal } {
-    if (this._closedFor) {
-      return { kind: 'refused', reason: this._closedFor };
+    if (this._closedReason) {
+      return { kind: 'refused', reason: this._closedReason };
     }
     if (this._queue.length === 0 && this._running.size < this.limit) {
       this._running.add(call.id);
       return { kind: 'started' };
     }
     const now = monotonicMs();
-    const place = this._placeFor(call);
-    const waitMs = ((place + 1) * this._meanMs) / this.limit;
+    const position = this._positionFor(call);
+    const waitMs = ((position + 1) * this._meanMs) / this.limit;
     if (now + waitMs > call.waitUntil || this._queue.length >= this.limit * kQueuePerSlot) {
-      return this._displace(call, place, now);
+      return this._displace(call, position, now);
     }
-    this._queue.splice(place, 0, call);
+    this._queue.splice(position, 0, call);
     return { kind: 'queued' };
   }
 
   /**
-   * Lets a call take the place of a less urgent one that waits before it, when it can start in time then: the less urgent is shed first,
-   * also where it came first. Calls of targets give way to nobody, as the work above them would be lost.
+   * Queues a call in place of the least urgent external request ahead of it, if that request is less urgent and the call can then
+   * start in time. Calls of targets are never displaced, because the work of their callers would be lost.
    */
-  private _displace(call: T, place: number, now: number): { kind: 'queued' } | { kind: 'refused'; reason: GateRefusal } {
-    const startsAt = now + (place * this._meanMs) / this.limit;
-    const victim = startsAt > call.waitUntil ? undefined : this._leastUrgentBefore(place, call.rank ?? -1);
+  private _displace(call: T, position: number, now: number): { kind: 'queued' } | { kind: 'refused'; reason: GateRefusal } {
+    const startsAt = now + (position * this._meanMs) / this.limit;
+    const victim = startsAt > call.waitUntil ? undefined : this._findLeastUrgent(position, call.rank ?? -1);
     if (!victim) {
       return { kind: 'refused', reason: 'overloaded' };
     }
     this._queue.splice(this._queue.indexOf(victim), 1);
-    this._queue.splice(place - 1, 0, call);
+    this._queue.splice(position - 1, 0, call);
     this._events.onRefuse(victim, 'overloaded');
     return { kind: 'queued' };
   }
 
-  /** The call of the largest rank above `rank` among the first `count` that wait. */
-  private _leastUrgentBefore(count: number, rank: number): T | undefined {
+  /** Finds the call with the largest rank above `rank` among the first `count` waiting calls. */
+  private _findLeastUrgent(count: number, rank: number): T | undefined {
     let least: T | undefined;
     for (const waiting of this._queue.slice(0, count)) {
       if (rank >= 0 && (waiting.rank ?? -1) > (least?.rank ?? rank)) {
@@ -148,8 +147,8 @@
     return least;
   }
 
-  /** Notes that a started call ended; `ranMs` is its time at the target, undefined when that tells nothing. */
-  ended(id: number, ranMs?: number): void {
+  /** Records that a started call ended. `ranMs` is its duration at the target; undefined leaves the mean duration as it is. */
+  callEnded(id: number, ranMs?: number): void {
     if (!this._running.delete(id)) {
       return;
     }
@@ -159,17 +158,17 @@
     this._startWaiting();
   }
 
-  /** Takes back a call that waits; false when it has started. */
+  /** Removes a waiting call; false when it is not in the queue. */
   withdraw(call: T): boolean {
-    const at = this._queue.indexOf(call);
-    if (at < 0) {
+    const index = this._queue.indexOf(call);
+    if (index < 0) {
       return false;
     }
-    this._queue.splice(at, 1);
+    this._queue.splice(index, 1);
     return true;
   }
 
-  /** Refuses calls whose wait is over; called a few times a second or more. */
+  /** Refuses calls whose latest start has passed; called at least a few times a second. */
   expire(): void {
     const now = monotonicMs();
     while (this._queue[0] && this._queue[0].waitUntil <= now) {
@@ -184,8 +183,8 @@
     }
   }
 
-  /** Place in the queue, behind all that have to start no later. */
-  private _placeFor(call: T): number {
+  /** Position in the queue, after all calls with the same or an earlier latest start. */
+  private _positionFor(call: T): number {
     let low = 0;
     let high = this._queue.length;
     while (low < high) {
@@ -204,7 +203,7 @@
     if (coldMs <= 0) {
       return 1;
     }
-    return coldMs > 1_000 ? kColdShares[0] : kColdShares[1];
+    return coldMs > 1_000 ? kColdSlotShares[0] : kColdSlotShares[1];
   }
 
   private _startWaiting(): void {
--- a/tests/admission/chainModel.spec.ts
+++ b/tests/admission/chainModel.spec.ts
@@ -3,53 +3,53 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { CallerMix, CallRatios, ChainModel, GateLevel, RootAdmission, seededRandom } from '@gentiandrum/core';
+import { InternalRouteDetector, CallRatios, ChainModel, GateLevel, RootAdmission, seededRandom } from '@gentiandrum/core';
 import { describe, it, itAlone } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kServices = ['archive', 'defects', 'switching', 'hazards'];
 
-describe('caller mix', () => {
-  it('should know a call of targets by the services that never make it', (t) => {
-    const mix = new CallerMix();
+describe('internal route detector', () => {
+  it('should classify a route as internal when hosts of some services never call it', (t) => {
+    const detector = new InternalRouteDetector();
     for (let i = 0; i < 200; i++) {
-      mix.note('lookup', kServices[i % kServices.length] ?? '');
-      mix.note('feed', 'switching');
+      detector.recordArrival('lookup', kServices[i % kServices.length] ?? '');
+      detector.recordArrival('feed', 'switching');
     }
-    t.false(mix.inner('lookup'));
-    t.true(mix.inner('feed'));
-    t.is(mix.inner('never seen'), undefined);
+    t.false(detector.isInternal('lookup'));
+    t.true(detector.isInternal('feed'));
+    t.is(detector.isInternal('never seen'), undefined);
   });
 
-  it('should not judge a route from a few calls', (t) => {
-    const mix = new CallerMix();
+  it('should not classify a route from a few calls', (t) => {
+    const detector = new InternalRouteDetector();
     kServices.forEach((service) => {
-      mix.note('lookup', service);
+      detector.recordArrival('lookup', service);
     });
-    mix.note('new', 'archive');
-    t.is(mix.inner('new'), undefined);
+    detector.recordArrival('new', 'archive');
+    t.is(detector.isInternal('new'), undefined);
   });
 });
 
 describe('call ratios', () => {
-  it('should tell which of two routes makes the calls, and how many, though both follow the same wave of load', (t) => {
+  it('should attribute downstream calls to the right route when the load of two routes is correlated', (t) => {
     const random = seededRandom(7);
     const ratios = new CallRatios();
-    const about = (mean: number): number => Array.from({ length: 4 * mean }, random).filter((draw) => draw < 0.25).length;
+    const drawCount = (mean: number): number => Array.from({ length: 4 * mean }, random).filter((draw) => draw < 0.25).length;
     for (let sample = 0; sample < 300; sample++) {
       const wave = 1 + 0.5 * Math.sin(sample / 10);
-      const rosters = about(Math.round(20 * wave));
-      const holds = about(Math.round(8 * wave));
+      const rosters = drawCount(Math.round(20 * wave));
+      const holds = drawCount(Math.round(8 * wave));
       for (let i = 0; i < rosters; i++) {
-        ratios.ran('roster');
+        ratios.recordRun('roster');
         Array.from({ length: 4 }).forEach(() => {
-          ratios.called('feed');
+          ratios.recordCall('feed');
         });
       }
       for (let i = 0; i < holds; i++) {
-        ratios.ran('hold');
+        ratios.recordRun('hold');
       }
-      ratios.sample();
+      ratios.closeSample();
     }
     ratios.solve();
     t.true(Math.abs((ratios.callsOf('roster').get('feed') ?? 0) - 4) < 0.2);
@@ -59,10 +59,10 @@
 
 describe('gate level', () => {
   const kStepMs = 100;
-  const kToleratedMs = 150;
+  const kAllowedWaitMs = 150;
 
-  /** A gate with a queue, whose offered work follows the level of some steps ago, and is `demand` without any. */
-  function steer(demand: (step: number) => number, steps: number): { level: number; done: number; waitMs: number }[] {
+  /** Simulates a gate with a queue. The offered work is `demand` at level 0 and follows the level with a delay of some steps. */
+  function simulateGate(demand: (step: number) => number, steps: number): { level: number; done: number; waitMs: number }[] {
     const kDelaySteps = 4;
     const level = new GateLevel();
     const levels = Array.from({ length: kDelaySteps }, () => 0);
@@ -70,9 +70,9 @@
     return Array.from({ length: steps }, (_, step) => {
       const offeredMs = demand(step) * (1 - (levels.at(-kDelaySteps) ?? 0)) * kStepMs + waitMs;
       const doneMs = Math.min(kStepMs, offeredMs);
-      waitMs = Math.min(kToleratedMs, offeredMs - doneMs);
-      level.came(kToleratedMs);
-      level.work(doneMs + (offeredMs - doneMs - waitMs));
+      waitMs = Math.min(kAllowedWaitMs, offeredMs - doneMs);
+      level.recordArrival(kAllowedWaitMs);
+      level.recordWork(doneMs + (offeredMs - doneMs - waitMs));
       level.step(waitMs, kStepMs);
       levels.push(level.current);
       return { level: level.current, done: doneMs / kStepMs, waitMs };
@@ -81,17 +81,17 @@
 
   const mean = (values: number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length;
 
-  it('should settle where the slots are busy and the queue is short', (t) => {
+  it('should settle with busy slots and a short queue', (t) => {
     for (const demand of [1.1, 1.3, 1.8, 3]) {
-      const settled = steer(() => demand, 250).slice(120);
+      const settled = simulateGate(() => demand, 250).slice(120);
       t.true(mean(settled.map(({ done }) => done)) > 0.95);
-      t.true(mean(settled.map(({ waitMs }) => waitMs)) < 0.6 * kToleratedMs);
+      t.true(mean(settled.map(({ waitMs }) => waitMs)) < 0.6 * kAllowedWaitMs);
     }
   });
 
-  it('should keep a gate busy without a swing at steady overload, also when a step of the level shows late', (t) => {
-    // The pattern of a deep chain over a narrow service: two thirds of the requests are of the lowest priority, and the refused
-    // share shows at the gate after up to 1.1 s. Bounds: a swing of the level leaves 0.78 to 0.87 done, and up to 0.26 refused.
+  it('should keep a gate busy without oscillation under constant overload, also when level changes take effect late', (t) => {
+    // Models a deep chain with a bottleneck service: two thirds of the requests have the lowest priority, and a change of the level
+    // takes effect at the gate after up to 1.1 s. An oscillating level leaves slots idle and refuses calls at the gate.
     for (const delaySteps of [5, 8, 11]) {
       for (const demand of [1.0, 1.1, 1.5, 2.2]) {
         const admission = new RootAdmission();
@@ -102,55 +102,55 @@
         let waitMs = 0;
         for (let step = 0; step < 400; step++) {
           const priorities = Array.from({ length: 60 }, (_, i) => [2, 0, 2, 1, 2, 2][i % 6] ?? 0);
-          const heard = levels.at(-1 - delaySteps) ?? 0;
-          const share = priorities.filter((priority) => admission.admits(priority, heard, random(), step * kStepMs)).length / 60;
+          const reportedLevel = levels.at(-1 - delaySteps) ?? 0;
+          const share = priorities.filter((priority) => admission.admits(priority, reportedLevel, random(), step * kStepMs)).length / 60;
           const offeredMs = demand * share * kStepMs + waitMs;
           const doneMs = Math.min(kStepMs, offeredMs);
           waitMs = Math.min(4 * kStepMs, offeredMs - doneMs);
           const refusedMs = offeredMs - doneMs - waitMs;
-          level.came(4 * kStepMs);
-          level.work(doneMs + refusedMs);
+          level.recordArrival(4 * kStepMs);
+          level.recordWork(doneMs + refusedMs);
           level.step(waitMs, kStepMs);
           levels.push(level.current);
           settled.push({ done: doneMs / kStepMs, refused: refusedMs / kStepMs });
         }
-        const late = settled.slice(150);
-        t.true(mean(late.map(({ done }) => done)) > 0.97);
-        t.true(mean(late.map(({ refused }) => refused)) < 0.01);
+        const settledSteps = settled.slice(150);
+        t.true(mean(settledSteps.map(({ done }) => done)) > 0.97);
+        t.true(mean(settledSteps.map(({ refused }) => refused)) < 0.01);
       }
     }
   });
 
-  it('should be open again soon after a rush, and hardly close a gate whose slots are enough', (t) => {
-    const after = steer((step) => (step < 50 ? 2 : 0.5), 110);
+  it('should return to 0 soon after a burst, and stay near 0 while the slots suffice', (t) => {
+    const after = simulateGate((step) => (step < 50 ? 2 : 0.5), 110);
     t.true((after[49]?.level ?? 0) > 0.3);
     t.is(after[80]?.level, 0);
-    t.true(steer(() => 0.95, 50).every(({ level }) => level === 0));
-    t.true(steer((step) => (step % 10 === 0 ? 1.5 : 0.9), 100).every(({ level }) => level < 0.05));
+    t.true(simulateGate(() => 0.95, 50).every(({ level }) => level === 0));
+    t.true(simulateGate((step) => (step % 10 === 0 ? 1.5 : 0.9), 100).every(({ level }) => level < 0.05));
   });
 });
 
 describe('root admission', () => {
-  /** Priorities as they come, in turn: two thirds of the lowest one. */
+  /** Priorities of successive requests, repeated: two thirds have the lowest one. */
   const kMix = [2, 0, 2, 1, 2, 2];
 
-  /** Share of each priority that is let in at a level, of requests that come every 10 ms. */
+  /** Returns the admitted share of each priority and of all requests at a level, with one request every 10 ms. */
   function admitted(mix: readonly number[], level: number): { shares: number[]; all: number } {
     const admission = new RootAdmission();
     const random = seededRandom(5);
-    const came = [0, 0, 0];
-    const letIn = [0, 0, 0];
+    const arrivals = [0, 0, 0];
+    const admittedCounts = [0, 0, 0];
     for (let i = 0; i < 12_000; i++) {
       const priority = mix[i % mix.length] ?? 0;
       const admits = admission.admits(priority, level, random(), i * 10);
-      came[priority] = (came[priority] ?? 0) + 1;
-      letIn[priority] = (letIn[priority] ?? 0) + (admits ? 1 : 0);
+      arrivals[priority] = (arrivals[priority] ?? 0) + 1;
+      admittedCounts[priority] = (admittedCounts[priority] ?? 0) + (admits ? 1 : 0);
     }
-    const all = letIn.reduce((sum, count) => sum + count, 0) / 12_000;
-    return { shares: letIn.map((count, priority) => count / (came[priority] ?? 1)), all };
+    const all = admittedCounts.reduce((sum, count) => sum + count, 0) / 12_000;
+    return { shares: admittedCounts.map((count, priority) => count / (arrivals[priority] ?? 1)), all };
   }
 
-  it('should turn the less urgent away first, and nobody at level 0', (t) => {
+  it('should reject less urgent requests first, and none at level 0', (t) => {
     t.deepEqual(admitted(kMix, 0).shares, [1, 1, 1]);
     const some = admitted(kMix, 0.3).shares;
     t.is(some[0], 1);
@@ -163,7 +163,7 @@
     t.deepEqual(admitted(kMix, 1).shares, [0, 0, 0]);
   });
 
-  it('should turn away the share that the level says, whatever the mix of priorities', (t) => {
+  it('should reject the share given by the level for any mix of priorities', (t) => {
     for (const mix of [kMix, [0], [2, 2, 2, 0], [1, 0, 0, 0, 0, 0]]) {
       for (const level of [0.1, 0.3, 0.6, 0.9]) {
         t.true(Math.abs(admitted(mix, level).all - (1 - level)) < 0.03);
@@ -173,21 +173,21 @@
 });
 
 describe('chain model', () => {
-  itAlone('should report the level that its own target met below, for the routes that lead there and no others', (t) => {
+  itAlone('should include downstream levels in the reports of routes that call the affected route, and of no others', (t) => {
     const time = new VirtualTime();
     const chains = new ChainModel();
     const random = seededRandom(3);
     for (let sample = 0; sample < 200; sample++) {
       time.runUntil(time.now + 200);
-      chains.learn('feed', 'h1', { level: 0.4, inner: true, height: 0 });
+      chains.recordReport('feed', 'h1', { level: 0.4, inner: true, height: 0 });
       const rosters = Math.floor(random() * 20);
       for (let i = 0; i < rosters; i++) {
-        chains.ran('roster');
-        chains.entered('feed');
+        chains.recordRun('roster');
+        chains.recordEntry('feed');
       }
       const holds = Math.floor(random() * 10);
       for (let i = 0; i < holds; i++) {
-        chains.ran('hold');
+        chains.recordRun('hold');
       }
       chains.step();
     }
@@ -200,62 +200,62 @@
     time.restore();
   });
 
-  itAlone('should turn nobody away while some host has room, and forget hosts that are not heard of', (t) => {
+  itAlone('should reject no requests while a host has capacity, and ignore hosts without recent reports', (t) => {
     const time = new VirtualTime();
     const chains = new ChainModel();
-    const hear = (host: string, level: number): void => {
+    const reportLevel = (host: string, level: number): void => {
       for (let i = 0; i < 50; i++) {
-        chains.learn('feed', host, { level, inner: true, height: 0 });
+        chains.recordReport('feed', host, { level, inner: true, height: 0 });
       }
     };
-    hear('full', 0.8);
+    reportLevel('full', 0.8);
     t.true(chains.level('feed') > 0.7);
-    hear('free', 0);
+    reportLevel('free', 0);
     t.is(chains.level('feed'), 0);
     time.runUntil(1_500);
-    hear('full', 0.8);
+    reportLevel('full', 0.8);
     t.true(chains.level('feed') > 0.7);
     time.restore();
   });
 
-  itAlone('should know chains at once from what was learned before, and what it sees itself takes its place', (t) => {
+  itAlone('should use restored data at once, and replace it by local observations', (t) => {
     const time = new VirtualTime();
     const random = seededRandom(11);
-    /** Runs of a route that makes so many calls, over some seconds. */
-    const live = (chains: ChainModel, callsOfRun: number): void => {
+    /** Simulates 30 s of runs of a route that make `callsOfRun` downstream calls each. */
+    const simulateRuns = (chains: ChainModel, callsOfRun: number): void => {
       for (let sample = 0; sample < 150; sample++) {
         time.runUntil(time.now + 200);
-        chains.learn('feed', 'h1', { level: 0.4, inner: true, height: 0 });
+        chains.recordReport('feed', 'h1', { level: 0.4, inner: true, height: 0 });
         for (let i = 0; i < Math.floor(random() * 20); i++) {
-          chains.arrived('roster', 'front');
-          chains.ran('roster');
+          chains.recordArrival('roster', 'front');
+          chains.recordRun('roster');
           for (let call = 0; call < callsOfRun; call++) {
-            chains.entered('feed');
+            chains.recordEntry('feed');
           }
         }
         chains.step();
       }
     };
     const before = new ChainModel();
-    live(before, 4);
+    simulateRuns(before, 4);
     const learned = before.learned();
     t.true(Math.abs((learned.calls.roster?.feed ?? 0) - 4) < 0.2);
     t.is(learned.inner.roster, false);
 
     const after = new ChainModel();
-    t.false(after.settled('roster'));
-    after.recall(learned);
-    after.hear({ feed: true });
-    t.true(after.settled('roster'));
-    t.is(after.inner('feed'), true);
-    after.learn('feed', 'h1', { level: 0.4, inner: true, height: 0 });
+    t.false(after.isEstimated('roster'));
+    after.restore(learned);
+    after.mergeInternalRoutes({ feed: true });
+    t.true(after.isEstimated('roster'));
+    t.is(after.isInternal('feed'), true);
+    after.recordReport('feed', 'h1', { level: 0.4, inner: true, height: 0 });
     const report = after.report('roster', 0);
     t.true(report.level > 0.35);
     t.is(report.height, 1);
     t.is(report.inner, false);
-    t.true(Math.abs(after.sumBelow('roster', () => 1) - 4) < 0.2);
-    live(after, 2);
-    t.true(Math.abs(after.sumBelow('roster', () => 1) - 2) < 0.2);
+    t.true(Math.abs(after.sumDownstream('roster', () => 1) - 4) < 0.2);
+    simulateRuns(after, 2);
+    t.true(Math.abs(after.sumDownstream('roster', () => 1) - 2) < 0.2);
     time.restore();
   });
 });
--- a/tests/admission/slotGate.spec.ts
+++ b/tests/admission/slotGate.spec.ts
@@ -7,9 +7,9 @@
 import { describe, itAlone } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
-const kLongMs = 10_000;
+const kLongWaitMs = 10_000;
 
-interface World {
+interface GateFixture {
   time: VirtualTime;
   gate: SlotGate<GatedCall>;
   started: number[];
@@ -17,7 +17,7 @@
   offer: (id: number, waitMs?: number) => string;
 }
 
-function withGate(body: (world: World) => void): void {
+function withGate(body: (fixture: GateFixture) => void): void {
   const time = new VirtualTime();
   const started: number[] = [];
   const refused: [number, GateRefusal][] = [];
@@ -25,7 +25,7 @@
     onStart: ({ id }) => started.push(id),
     onRefuse: ({ id }, reason) => refused.push([id, reason]),
   });
-  const offer = (id: number, waitMs = kLongMs): string => gate.offer({ id, waitUntil: time.now + waitMs }).kind;
+  const offer = (id: number, waitMs = kLongWaitMs): string => gate.offer({ id, waitUntil: time.now + waitMs }).kind;
   try {
     body({ time, gate, started, refused, offer });
   } finally {
@@ -34,43 +34,43 @@
 }
 
 describe('slot gate', () => {
-  itAlone('should refuse everything until its target has spoken', (t) => {
+  itAlone('should refuse all calls until it is opened', (t) => {
     withGate(({ offer }) => {
       t.is(offer(1), 'refused');
     });
   });
 
-  itAlone('should never run more than the slots allow, and start next what can wait least', (t) => {
+  itAlone('should never run more calls than the slots allow, and start waiting calls by their latest start time', (t) => {
     withGate(({ gate, started, offer }) => {
       gate.open(11, 0);
       const kinds = Array.from({ length: 12 }, (_, i) => offer(i));
       t.is(kinds.filter((kind) => kind === 'started').length, 10);
       t.is(gate.inFlight, 10);
       offer(20, 100);
-      gate.ended(0, 5);
-      gate.ended(1, 5);
+      gate.callEnded(0, 5);
+      gate.callEnded(1, 5);
       t.deepEqual(started, [20, 10]);
       t.is(gate.inFlight, 10);
     });
   });
 
-  itAlone('should refuse at once what could only wait in vain', (t) => {
+  itAlone('should refuse a call at once when it could not start in time', (t) => {
     withGate(({ gate, offer }) => {
       gate.open(2, 0);
       offer(1);
-      gate.ended(1, 400);
+      gate.callEnded(1, 400);
       offer(2);
       t.is(offer(3, 500), 'queued');
       t.is(offer(4, 500), 'refused');
     });
   });
 
-  itAlone('should refuse what waited too long, and hand back what waits when it closes', (t) => {
+  itAlone('should refuse calls that waited too long, and all waiting calls when it closes', (t) => {
     withGate(({ time, gate, refused, offer }) => {
       gate.open(1, 0);
       offer(1);
       offer(2, 50);
-      offer(3, kLongMs);
+      offer(3, kLongWaitMs);
       time.runUntil(60);
       gate.expire();
       t.deepEqual(refused, [[2, 'wait_too_long']]);
@@ -81,11 +81,11 @@
     });
   });
 
-  itAlone('should withdraw what waits, and only that', (t) => {
+  itAlone('should withdraw only waiting calls', (t) => {
     withGate(({ gate }) => {
       gate.open(1, 0);
-      const running = { id: 1, waitUntil: kLongMs };
-      const waiting = { id: 2, waitUntil: kLongMs };
+      const running = { id: 1, waitUntil: kLongWaitMs };
+      const waiting = { id: 2, waitUntil: kLongWaitMs };
       gate.offer(running);
       gate.offer(waiting);
       t.false(gate.withdraw(running));
@@ -94,7 +94,7 @@
     });
   });
 
-  itAlone('should not hold a target back for longer because it was opened again', (t) => {
+  itAlone('should not extend the warm-up of a target when it is reopened', (t) => {
     withGate(({ time, gate }) => {
       gate.open(100, 3_000);
       time.runUntil(2_900);
@@ -106,7 +106,7 @@
     });
   });
 
-  itAlone('should give a cold target less at first', (t) => {
+  itAlone('should use fewer slots while the target is cold', (t) => {
     withGate(({ time, gate }) => {
       gate.open(100, 3_000);
       t.is(gate.limit, 47);
--- a/tests/retries/ledger.spec.ts
+++ b/tests/retries/ledger.spec.ts
@@ -3,19 +3,19 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { kAllOpen, RetryLedger, RetryRatio } from '@gentiandrum/core';
+import { kOpenReport, RetryLedger, RetryTokenBucket } from '@gentiandrum/core';
 import fc from 'fast-check';
 import { describe, it } from '../support/describe.js';
 
 const kSeed = 12;
 
-/** A call of a random tree: what befalls it, and the calls below it. */
+/** A call of a random call tree, with the faults that are injected and its downstream calls. */
 interface Node {
-  /** Attempts that fail before one succeeds, as far as the allowance goes. */
+  /** Number of attempts that fail before one succeeds, limited by the allowance. */
   failures: number;
-  /** The answer to an attempt is lost, and its share with it. */
+  /** Whether the response to the first attempt is lost, including its unspent share. */
   lost: boolean;
-  /** The daemon that holds the ledger entry restarts while the children run. */
+  /** Whether the daemon that holds the ledger entry restarts while the children run. */
   restarts: boolean;
   children: Node[];
 }
@@ -32,30 +32,30 @@
   ),
 }));
 
-/** Plays a call with real ledgers, one for each daemon; returns what it left unspent and the retries it made. */
-function play(call: Node, allowance: number, id: string): { unspent: number; retries: number } {
-  let left = allowance;
+/** Simulates a call with one ledger per daemon. Returns its unspent allowance and its retries. */
+function simulateCall(call: Node, allowance: number, id: string): { unspent: number; retries: number } {
+  let remaining = allowance;
   let retries = 0;
   for (let attempt = 0; attempt <= call.failures; attempt++) {
     if (attempt > 0) {
-      if (left === 0) {
+      if (remaining === 0) {
         break;
       }
-      left--;
+      remaining--;
       retries++;
     }
-    const lent = left;
-    left = 0;
-    const below = playChildren(call, lent, `${id}.${attempt}`);
+    const reserved = remaining;
+    remaining = 0;
+    const below = simulateChildren(call, reserved, `${id}.${attempt}`);
     retries += below.retries;
-    left += call.lost && attempt === 0 ? 0 : below.unspent;
+    remaining += call.lost && attempt === 0 ? 0 : below.unspent;
   }
-  return { unspent: left, retries };
+  return { unspent: remaining, retries };
 }
 
-function playChildren(call: Node, lent: number, entry: string): { unspent: number; retries: number } {
+function simulateChildren(call: Node, reserved: number, entry: string): { unspent: number; retries: number } {
   let ledger = new RetryLedger();
-  ledger.open(entry, lent);
+  ledger.open(entry, reserved);
   let retries = 0;
   const shares = call.children.map(() => ledger.reserve(entry));
   if (call.restarts) {
@@ -63,9 +63,9 @@
   }
   call.children.forEach((child, i) => {
     const share = call.restarts && i > 0 ? ledger.reserve(entry) : (shares[i] ?? 0);
-    const end = play(child, share, `${entry}/${i}`);
-    retries += end.retries;
-    ledger.endOnward(entry, 0, { unspent: end.unspent, level: kAllOpen, final: false });
+    const result = simulateCall(child, share, `${entry}/${i}`);
+    retries += result.retries;
+    ledger.endDownstreamCall(entry, 0, { unspent: result.unspent, level: kOpenReport, final: false });
     if (ledger.takeOne(entry)) {
       retries++;
     }
@@ -74,10 +74,10 @@
 }
 
 describe('a retry ledger', () => {
-  it('should never let a chain retry more often than its root was granted, whatever fails below', (t) => {
+  it('should never let a chain make more retries than its root was granted, for any downstream faults', (t) => {
     fc.assert(
       fc.property(node, fc.nat(8), (tree, allowance) => {
-        const { unspent, retries } = play(tree, allowance, 'root');
+        const { unspent, retries } = simulateCall(tree, allowance, 'root');
         return retries <= allowance && retries + unspent <= allowance;
       }),
       { seed: kSeed, numRuns: 2_000 },
@@ -85,7 +85,7 @@
     t.pass();
   });
 
-  it('should let two units of three reach a call 28 deep', (t) => {
+  it('should pass two of three units to a call at depth 28', (t) => {
     const ledger = new RetryLedger();
     let share = 3;
     for (let depth = 0; depth < 28; depth++) {
@@ -95,31 +95,31 @@
     t.is(share, 2);
   });
 
-  it('should give nothing to calls of an entry that it does not know', (t) => {
+  it('should grant no units for an unknown entry', (t) => {
     const ledger = new RetryLedger();
     t.is(ledger.reserve('gone'), 0);
     t.false(ledger.takeOne('gone'));
   });
 
-  it('should count overlapping onward calls once in the time that the target waited', (t) => {
+  it('should count overlapping downstream calls once in the time that the target waited', (t) => {
     const ledger = new RetryLedger();
     ledger.open('call', 0);
-    ledger.beginOnward('call', 10);
-    ledger.beginOnward('call', 20);
-    const end = { unspent: 0, level: kAllOpen, final: false };
-    ledger.endOnward('call', 30, end);
-    ledger.endOnward('call', 50, end);
+    ledger.beginDownstreamCall('call', 10);
+    ledger.beginDownstreamCall('call', 20);
+    const result = { unspent: 0, level: kOpenReport, final: false };
+    ledger.endDownstreamCall('call', 30, result);
+    ledger.endDownstreamCall('call', 50, result);
     t.is(ledger.close('call', 60)?.waitedMs, 40);
   });
 });
 
-describe('a retry ratio', () => {
-  it('should keep retries a small share of first attempts', (t) => {
-    const ratio = new RetryRatio(() => 0.1);
+describe('a retry token bucket', () => {
+  it('should limit retries to a share of the first attempts', (t) => {
+    const bucket = new RetryTokenBucket(() => 0.1);
     let retries = 0;
     for (let i = 0; i < 1_000; i++) {
-      ratio.earn();
-      retries += ratio.spend() ? 1 : 0;
+      bucket.earn();
+      retries += bucket.spend() ? 1 : 0;
     }
     t.true(retries <= 110, String(retries));
   });
--- a/tests/retries/repeatBudget.spec.ts
+++ b/tests/retries/repeatBudget.spec.ts
@@ -11,20 +11,24 @@
 const kBound = { ratio: 0.2, extra: 47, windowSeconds: 10 };
 const kWindowMs = 10_000;
 
-/** Most repeats in any window, beyond what the ratio allows for the first arrivals of that window or the one before. */
-function mostExtra(repeats: readonly number[], arrivals: readonly number[]): number {
-  const within = (times: readonly number[], from: number): number => times.filter((at) => at >= from && at < from + kWindowMs).length;
+/** Returns the most repeats in any window beyond the ratio of the first arrivals in or shortly before that window. */
+function maxExtraRepeats(repeats: readonly number[], arrivals: readonly number[]): number {
+  const countWithin = (times: readonly number[], from: number): number => times.filter((at) => at >= from && at < from + kWindowMs).length;
   return Math.max(
     0,
     ...repeats.map((from) => {
-      const requests = Math.max(within(arrivals, from), within(arrivals, from - kWindowMs), within(arrivals, from - kWindowMs / 2));
-      return within(repeats, from) - kBound.ratio * requests;
+      const requests = Math.max(
+        countWithin(arrivals, from),
+        countWithin(arrivals, from - kWindowMs),
+        countWithin(arrivals, from - kWindowMs / 2),
+      );
+      return countWithin(repeats, from) - kBound.ratio * requests;
     }),
   );
 }
 
 describe('repeat budget', () => {
-  itAlone('should keep the sum over all targets within the bound of the service, whatever the load', (t) => {
+  itAlone('should keep the sum over all targets within the bound of the service under any load', (t) => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 6 }),
@@ -56,7 +60,7 @@
                 }
               }
             }
-            return mostExtra(repeats, arrivals) <= kBound.extra;
+            return maxExtraRepeats(repeats, arrivals) <= kBound.extra;
           } finally {
             time.restore();
           }
@@ -67,7 +71,7 @@
     t.pass();
   });
 
-  itAlone('should start empty: a restart gives no repeats for free', (t) => {
+  itAlone('should start empty, so that a restart grants no repeats', (t) => {
     const time = new VirtualTime();
     t.false(new RepeatBudget(kBound).spend(1, false));
     time.restore();
