--- a/bench/choice/main.ts
+++ b/bench/choice/main.ts
@@ -47,8 +47,12 @@
   const choose = (): void => {
     const target = placement.choose(targets, kNone, kRoute);
     if (target) {
-      placement.sent(target.host);
-      placement.ended(target.host, kRoute.name, { load: { inFlight: 3, queued: 0, limit: 30, meanMs: 40 }, tookMs: 40, failed: false });
+      placement.recordSent(target.host);
+      placement.recordResult(target.host, kRoute.name, {
+        load: { inFlight: 3, queued: 0, limit: 30, meanMs: 40 },
+        tookMs: 40,
+        failed: false,
+      });
     }
   };
   targets.forEach(({ host }) => {
--- a/packages/core/src/procedures/runAttempts.ts
+++ b/packages/core/src/procedures/runAttempts.ts
@@ -103,7 +103,7 @@
   run.attempts.push(attempt);
   run.tried.add(choice.candidate.target);
   run.note(step, choice.reason, attempt);
-  choice.stats.offered();
+  choice.stats.recordOffer();
   attempt.state = { kind: 'offered' };
   const suspicion = suspect.kind === 'suspect' ? suspect.suspicion : undefined;
   const terms = offerTerms(call, { attempt: attempt.id, choice, allowance: attempt.lent, now, suspicion });
@@ -149,7 +149,7 @@
     return undefined;
   }
   attempt.state = stateAfter(end);
-  attempt.choice.stats.ended();
+  attempt.choice.stats.recordOfferResult();
   learn(run, attempt, end);
   if (end.kind !== 'answered') {
     return undefined;
@@ -184,7 +184,7 @@
     run.note('lost', `${end.cause ?? 'no cause'}, ${end.written ? 'may have been taken' : 'never taken'}`, attempt);
     run.lastReason = end.written ? 'attempt_lost' : 'no_target';
     run.allowance += end.written ? 0 : attempt.lent;
-    ctx.picker.failed(candidate, ctx.candidates(call.cls.service), now);
+    ctx.picker.recordFailure(candidate, ctx.candidates(call.cls.service), now);
     if (!end.written) {
       ctx.unreachable(candidate);
     }
@@ -197,7 +197,7 @@
   run.level = tighter(run.level, end.level);
   ctx.rootFilter.learnService(end.level.service, end.level.level, now);
   if (end.load) {
-    stats.report(end.load.load, end.load.limit, now);
+    stats.recordReport(end.load.load, end.load.limit, now);
   }
   if (end.kind === 'refused') {
     run.lastReason = end.reason;
@@ -206,16 +206,16 @@
       run.tried.delete(candidate.target);
     }
     if (end.reason === 'no_target') {
-      ctx.picker.failed(candidate, ctx.candidates(call.cls.service), now);
+      ctx.picker.recordFailure(candidate, ctx.candidates(call.cls.service), now);
     }
     return;
   }
   run.final ||= end.retriedBelow;
   const targetFailed = end.kind === 'failed' || (end.answer.status >= kServerError && !end.retriedBelow);
   if (targetFailed) {
-    ctx.picker.failed(candidate, ctx.candidates(call.cls.service), now);
+    ctx.picker.recordFailure(candidate, ctx.candidates(call.cls.service), now);
   } else {
-    stats.succeeded();
+    stats.recordSuccess();
   }
   if (end.kind === 'failed') {
     run.lastReason = end.reason;
@@ -285,7 +285,7 @@
   for (const attempt of run.open) {
     const reply = yield* perform('cancel', { attempt: attempt.id, to: attempt.choice.candidate, awaited });
     attempt.state = { kind: 'cancelled', beforeStart: reply.kind === 'before_start' };
-    attempt.choice.stats.ended();
+    attempt.choice.stats.recordOfferResult();
   }
   return undefined;
 }
--- a/packages/core/src/routing/classifier.ts
+++ b/packages/core/src/routing/classifier.ts
@@ -27,7 +27,7 @@
       this._rules.set(service, []);
     }
     for (const [name, cls] of Object.entries(cfg.classes)) {
-      this._rules.get(cls.service)?.push({ cls: { ...cls, name }, methods: new Set(cls.methods), segments: split(cls.path) });
+      this._rules.get(cls.service)?.push({ cls: { ...cls, name }, methods: new Set(cls.methods), segments: splitPath(cls.path) });
     }
     for (const rules of this._rules.values()) {
       rules.sort((a, b) => specificity(b) - specificity(a) || (a.cls.name < b.cls.name ? -1 : 1));
@@ -35,35 +35,35 @@
   }
 
   /** Whether the configuration declares the service. */
-  knows(service: string): boolean {
+  hasService(service: string): boolean {
     return this._rules.has(service);
   }
 
   /** The class of a call; `path` without query. */
   classify(service: string, method: string, path: string): NamedClass | undefined {
-    const segments = split(path);
+    const segments = splitPath(path);
     return this._rules.get(service)?.find((rule) => matches(rule, method, segments))?.cls;
   }
 }
 
-function split(path: string): string[] {
+function splitPath(path: string): string[] {
   return path.split('/').filter((segment) => segment !== '');
 }
 
 function specificity(rule: Rule): number {
   const literal = rule.segments.filter((segment) => !segment.startsWith('*')).length;
-  const open = rule.segments.at(-1) === '**' ? 0 : 1;
-  return literal * 4 + open * 2 + (rule.methods.size > 0 ? 1 : 0);
+  const exactLength = rule.segments.at(-1) === '**' ? 0 : 1;
+  return literal * 4 + exactLength * 2 + (rule.methods.size > 0 ? 1 : 0);
 }
 
 function matches(rule: Rule, method: string, segments: readonly string[]): boolean {
   if (rule.methods.size > 0 && !rule.methods.has(method)) {
     return false;
   }
-  const open = rule.segments.at(-1) === '**';
-  const fixed = open ? rule.segments.slice(0, -1) : rule.segments;
-  if (open ? segments.length < fixed.length : segments.length !== fixed.length) {
+  const openEnded = rule.segments.at(-1) === '**';
+  const prefix = openEnded ? rule.segments.slice(0, -1) : rule.segments;
+  if (openEnded ? segments.length < prefix.length : segments.length !== prefix.length) {
     return false;
   }
-  return fixed.every((segment, i) => segment === '*' || segment === segments[i]);
+  return prefix.every((segment, i) => segment === '*' || segment === segments[i]);
 }
--- a/packages/core/src/routing/hostStats.ts
+++ b/packages/core/src/routing/hostStats.ts
@@ -7,7 +7,7 @@
 
 import type { RouteReport } from '../admission/chainModel.js';
 import type { TargetRecord } from '../membership/targetRecord.js';
-import { FadingMeans } from './fadingMeans.js';
+import { DecayingAverages } from './decayingAverages.js';
 
 /**
  * Time in which what sets the mean time of a host apart from that of its route is halved while no answer renews it, in milliseconds. A
@@ -29,8 +29,8 @@
  * Time for which a target that can't be reached is passed over, in milliseconds; doubles up to the longest. Links are opened
  * again in the background and end it at once, so it only bounds what a lost word of that would cost.
  */
-const kAvoidMs = 1_000;
-const kLongestAvoidMs = 8_000;
+const kInitialBackoffMs = 1_000;
+const kMaxBackoffMs = 8_000;
 
 /** Load of a target as its gate reports it with each answer. */
 export interface LoadReport {
@@ -44,7 +44,7 @@
 export type GateReport = LoadReport & RouteReport & { chargeMs: number };
 
 /** How a call ended, as its target's statistics need it. */
-export interface PlacedEnd {
+export interface PlacedCallResult {
   load?: LoadReport & { chargeMs?: number };
   /** Set when it was answered. */
   tookMs?: number;
@@ -57,20 +57,20 @@
 /** Statistics of one host. Times are kept by route: those of different routes can't be compared. */
 export class HostStats {
   /** Comparisons since it was last chosen. */
-  passedOver = 0;
+  comparisonsSinceChosen = 0;
   private _load: LoadReport = { inFlight: 0, queued: 0, limit: 0, meanMs: 0 };
   private _reportedAt = -Infinity;
   /** Calls sent and not answered. */
   private _outstanding = 0;
   /** Outstanding calls at the time of the report. */
-  private _outstandingThen = 0;
-  private readonly _meanMs = new FadingMeans(kMeanHalfLifeMs);
+  private _outstandingAtReport = 0;
+  private readonly _meanMs = new DecayingAverages(kMeanHalfLifeMs);
   /** Charges for the calls below a route, in milliseconds. */
-  private readonly _chargeMs = new FadingMeans(kChargeHalfLifeMs);
-  private _failures = 0;
-  private _failuresAt = 0;
-  private _avoidUntil = 0;
-  private _avoidMs = 0;
+  private readonly _chargeMs = new DecayingAverages(kChargeHalfLifeMs);
+  private _failureRate = 0;
+  private _failureRateAt = 0;
+  private _unreachableUntil = 0;
+  private _backoffMs = 0;
 
   /** Routes whose times are known. */
   get routes(): string[] {
@@ -78,71 +78,71 @@
   }
 
   /** Notes that a call was sent. */
-  sent(): void {
+  recordSent(): void {
     this._outstanding++;
   }
 
   /** Notes the end of a call; `usualMs` is the mean time on its route over all hosts. */
-  ended(route: string, end: PlacedEnd, usualMs: number, now: number): void {
+  recordResult(route: string, result: PlacedCallResult, usualMs: number, now: number): void {
     this._outstanding = Math.max(0, this._outstanding - 1);
-    const failures = this.failures(now);
-    this._failures = failures + ((end.failed ? 1 : 0) - failures) * kFailureWeight;
-    this._failuresAt = now;
-    if (end.load) {
-      this._report(route, end.load, now);
+    const failureRate = this.failureRate(now);
+    this._failureRate = failureRate + ((result.failed ? 1 : 0) - failureRate) * kFailureWeight;
+    this._failureRateAt = now;
+    if (result.load) {
+      this._recordReport(route, result.load, now);
     }
-    if (end.tookMs !== undefined) {
-      this._meanMs.renew(route, end.tookMs, now, usualMs, end.tookMs);
+    if (result.tookMs !== undefined) {
+      this._meanMs.update(route, result.tookMs, now, usualMs, result.tookMs);
     }
   }
 
   /** Passes the host over for a while: it could not be reached. */
-  avoid(now: number): void {
-    if (this._avoidUntil <= now) {
-      this._avoidMs = Math.min(kLongestAvoidMs, Math.max(kAvoidMs, this._avoidMs * 2));
-      this._avoidUntil = now + this._avoidMs;
+  markUnreachable(now: number): void {
+    if (this._unreachableUntil <= now) {
+      this._backoffMs = Math.min(kMaxBackoffMs, Math.max(kInitialBackoffMs, this._backoffMs * 2));
+      this._unreachableUntil = now + this._backoffMs;
     }
   }
 
   /** Ends that: it was heard of again. */
-  reached(): void {
-    this._avoidUntil = 0;
-    this._avoidMs = 0;
+  markReachable(): void {
+    this._unreachableUntil = 0;
+    this._backoffMs = 0;
   }
 
   /** How much longer it is passed over, in milliseconds. */
-  avoidedMs(now: number): number {
-    return Math.max(0, this._avoidUntil - now);
+  remainingBackoffMs(now: number): number {
+    return Math.max(0, this._unreachableUntil - now);
   }
 
   /** Mean time of a call, in milliseconds, which nears the usual one while no answer renews it. */
   meanMs(route: string, usualMs: number, now: number): number {
-    return this._meanMs.at(route, now, usualMs);
+    return this._meanMs.valueAt(route, now, usualMs);
   }
 
   /** Mean charge for the calls below a route, in milliseconds. */
   chargeMs(route: string, now: number): number {
-    return this._chargeMs.at(route, now);
+    return this._chargeMs.valueAt(route, now);
   }
 
   /** Share of calls that failed. */
-  failures(now: number): number {
-    return this._failures * 0.5 ** ((now - this._failuresAt) / kFailureHalfLifeMs);
+  failureRate(now: number): number {
+    return this._failureRate * 0.5 ** ((now - this._failureRateAt) / kFailureHalfLifeMs);
   }
 
   /** Calls at the target and on the way to it, for each one that it may run at once; a full one is left before people wait for it. */
   load({ slots }: TargetRecord, now: number): number {
     const limit = this._load.limit > 0 ? this._load.limit : Math.max(1, slots);
-    const age = 0.5 ** ((now - this._reportedAt) / kReportHalfLifeMs);
-    const others = Math.max(0, this._load.inFlight + this._load.queued - this._outstandingThen) * age;
-    return (others + this._outstanding + 1) / limit;
+    const decay = 0.5 ** ((now - this._reportedAt) / kReportHalfLifeMs);
+    const otherCalls = Math.max(0, this._load.inFlight + this._load.queued - this._outstandingAtReport) * decay;
+    return (otherCalls + this._outstanding + 1) / limit;
   }
 
-  private _report(route: string, load: LoadReport & { chargeMs?: number }, now: number): void {
+  private _recordReport(route: string, load: LoadReport & { chargeMs?: number }, now: number): void {
     this._load = load;
     this._reportedAt = now;
-    this._outstandingThen = this._outstanding;
-    this._avoidMs = 0;
-    this._chargeMs.renew(route, Math.min(kMaxChainChargeMs, load.chargeMs ?? 0), now);
+    this._outstandingAtReport = this._outstanding;
+    this._backoffMs = 0;
+    this._chargeMs.update(route, Math.min(kMaxChainChargeMs, load.chargeMs ?? 0), now);
   }
 }
--- a/packages/core/src/routing/routeTable.ts
+++ b/packages/core/src/routing/routeTable.ts
@@ -26,9 +26,9 @@
 
   /** The route with the longest prefix of the path; `path` may carry a query. */
   find(host: string, path: string): Route | undefined {
-    const end = path.indexOf('?');
-    const bare = end < 0 ? path : path.slice(0, end);
-    return this._byHost.get(hostName(host))?.find((route) => bare.startsWith(route.prefix));
+    const queryStart = path.indexOf('?');
+    const pathname = queryStart < 0 ? path : path.slice(0, queryStart);
+    return this._byHost.get(hostName(host))?.find((route) => pathname.startsWith(route.prefix));
   }
 
   /** The service of the route's next request. */
--- a/packages/core/src/routing/targetPicker.ts
+++ b/packages/core/src/routing/targetPicker.ts
@@ -55,8 +55,8 @@
   /** Chooses among `candidates`, leaving out those named in `tried` while others are left. */
   pick(candidates: readonly Candidate[], tried: ReadonlySet<string>, now: number): Choice | undefined {
     const untried = candidates.filter((candidate) => !tried.has(candidate.target));
-    const fit = untried.filter((candidate) => !this._isEjected(candidate, now));
-    const pool = fit.length > 0 ? fit : untried;
+    const eligible = untried.filter((candidate) => !this._isEjected(candidate, now));
+    const pool = eligible.length > 0 ? eligible : untried;
     const scored = [
       ...this._sample(pool.filter((c) => c.zone === this._zone)),
       ...this._sample(pool.filter((c) => c.zone !== this._zone && c.region === this._region)),
@@ -86,9 +86,9 @@
   }
 
   /** Notes a failure of a target, and ejects it when due and while the cap allows. */
-  failed(failing: Candidate, all: readonly Candidate[], now: number): void {
+  recordFailure(failing: Candidate, all: readonly Candidate[], now: number): void {
     const stats = this.statsOf(failing, now);
-    if (!stats.failed()) {
+    if (!stats.recordFailure()) {
       return;
     }
     const ejected = all.filter((candidate) => this._isEjected(candidate, now)).length;
@@ -108,7 +108,7 @@
   }
 
   private _isEjected(candidate: Candidate, now: number): boolean {
-    return this.statsOf(candidate, now).ejected(now);
+    return this.statsOf(candidate, now).isEjected(now);
   }
 
   /** Two at random, or all when there are no more. */
--- a/packages/core/src/routing/targetStats.ts
+++ b/packages/core/src/routing/targetStats.ts
@@ -6,24 +6,24 @@
 /** What one daemon has seen of one target: its own calls there, and the load that answers report. */
 
 const kFailureWeight = 0.1;
-const kEjectRate = 0.5;
-const kEjectAfterInRow = 5;
+const kEjectFailureRate = 0.5;
+const kEjectAfterFailures = 5;
 const kMinSamples = 10;
-const kFirstEjectMs = 2_000;
+const kInitialEjectMs = 2_000;
 const kMaxEjectMs = 30_000;
 /** Time after which reported load counts for nothing, in milliseconds. */
-const kReportTrustMs = 500;
+const kReportMaxAgeMs = 500;
 
 /** Statistics of one target as seen by one daemon. */
 export class TargetStats {
-  private _own = 0;
-  private _reported = 0;
+  private _outstanding = 0;
+  private _reportedLoad = 0;
   private _reportedAt = -Infinity;
-  private _ownAtReport = 0;
+  private _outstandingAtReport = 0;
   private _limit: number;
   private _failureRate = 0;
   private _samples = 0;
-  private _failuresInRow = 0;
+  private _consecutiveFailures = 0;
   private _ejections = 0;
   private _ejectedUntil = -Infinity;
 
@@ -35,34 +35,34 @@
   }
 
   /** Notes an offer to the target. */
-  offered(): void {
-    this._own++;
+  recordOffer(): void {
+    this._outstanding++;
   }
 
   /** Notes the end of an offer. */
-  ended(): void {
-    this._own--;
+  recordOfferResult(): void {
+    this._outstanding--;
   }
 
   /** Takes the load that the gate reported with an answer. */
-  report(load: number, limit: number, now: number): void {
-    this._reported = load;
+  recordReport(load: number, limit: number, now: number): void {
+    this._reportedLoad = load;
     this._limit = Math.max(1, limit);
     this._reportedAt = now;
-    this._ownAtReport = this._own;
+    this._outstandingAtReport = this._outstanding;
   }
 
   /** Estimated calls at the target per slot. */
   utilisation(now: number): number {
-    const trust = Math.max(0, 1 - (now - this._reportedAt) / kReportTrustMs);
-    const estimate = trust * (this._reported + this._own - this._ownAtReport);
-    return Math.max(estimate, this._own) / this._limit;
+    const weight = Math.max(0, 1 - (now - this._reportedAt) / kReportMaxAgeMs);
+    const estimate = weight * (this._reportedLoad + this._outstanding - this._outstandingAtReport);
+    return Math.max(estimate, this._outstanding) / this._limit;
   }
 
   /** Notes that the target answered. */
-  succeeded(): void {
+  recordSuccess(): void {
     this._samples++;
-    this._failuresInRow = 0;
+    this._consecutiveFailures = 0;
     this._failureRate *= 1 - kFailureWeight;
     if (this._failureRate < 0.01) {
       this._ejections = 0;
@@ -70,24 +70,24 @@
   }
 
   /** Notes that the target failed; true when it now ought to be ejected. */
-  failed(): boolean {
+  recordFailure(): boolean {
     this._samples++;
-    this._failuresInRow++;
+    this._consecutiveFailures++;
     this._failureRate += (1 - this._failureRate) * kFailureWeight;
-    return this._failuresInRow >= kEjectAfterInRow || (this._samples >= kMinSamples && this._failureRate >= kEjectRate);
+    return this._consecutiveFailures >= kEjectAfterFailures || (this._samples >= kMinSamples && this._failureRate >= kEjectFailureRate);
   }
 
   /** Sends no calls to the target for a while, longer each time. */
   eject(now: number): void {
-    this._ejectedUntil = now + Math.min(kMaxEjectMs, kFirstEjectMs * 2 ** this._ejections);
+    this._ejectedUntil = now + Math.min(kMaxEjectMs, kInitialEjectMs * 2 ** this._ejections);
     this._ejections++;
-    this._failuresInRow = 0;
+    this._consecutiveFailures = 0;
     this._failureRate = 0;
     this._samples = 0;
   }
 
   /** Whether the target is ejected as of `now`. */
-  ejected(now: number): boolean {
+  isEjected(now: number): boolean {
     return now < this._ejectedUntil;
   }
 }
--- a/packages/core/src/routing/targetSubset.ts
+++ b/packages/core/src/routing/targetSubset.ts
@@ -17,25 +17,25 @@
  */
 const kSubsetSize = 8;
 /** Services up to this size are used whole: to compare a dozen targets takes no more than to hand on the call. */
-const kWholeSize = 12;
+const kMaxWholeSize = 12;
 
 /** The targets of a service as one ingress uses them. */
 export interface TargetSubset {
   /** Compared for each call. */
-  usual: readonly TargetRecord[];
+  primary: readonly TargetRecord[];
   /** The others, taken when the usual ones are full or can't be reached: own zone first, each by rank. */
-  further: readonly TargetRecord[];
+  fallback: readonly TargetRecord[];
 }
 
 /** Divides the candidates of a service for the ingress on a host, by the rank that they have for that host. */
 export function subsetFor(host: string, zone: string, candidates: readonly TargetRecord[], rank: RendezvousRank): TargetSubset {
-  if (candidates.length <= kWholeSize) {
-    return { usual: candidates, further: [] };
+  if (candidates.length <= kMaxWholeSize) {
+    return { primary: candidates, fallback: [] };
   }
   const ranked = rank.order(candidates);
-  const near = ranked.filter((target) => target.zone === zone);
-  const ordered = [...near, ...ranked.filter((target) => target.zone !== zone)];
-  const own = ordered.filter((target) => target.host === host);
+  const inZone = ranked.filter((target) => target.zone === zone);
+  const ordered = [...inZone, ...ranked.filter((target) => target.zone !== zone)];
+  const local = ordered.filter((target) => target.host === host);
   const others = ordered.filter((target) => target.host !== host);
-  return { usual: [...own, ...others.slice(0, kSubsetSize)], further: others.slice(kSubsetSize) };
+  return { primary: [...local, ...others.slice(0, kSubsetSize)], fallback: others.slice(kSubsetSize) };
 }
--- a/packages/daemon/src/app/callService.ts
+++ b/packages/daemon/src/app/callService.ts
@@ -180,7 +180,7 @@
 
   private _makeCall(id: string, req: IncomingRequest): Call | ErrorKind {
     const { service, payload } = req;
-    if (!this._classifier.knows(service)) {
+    if (!this._classifier.hasService(service)) {
       return 'unknown_service';
     }
     const cls = this._classifier.classify(service, payload.method, payload.path.split('?')[0] ?? '/');
--- a/packages/mesh/src/app/calls/callExchange.ts
+++ b/packages/mesh/src/app/calls/callExchange.ts
@@ -14,7 +14,7 @@
   type GateReport,
   monotonicMs,
   type Offer,
-  type PlacedEnd,
+  type PlacedCallResult,
   type PlacedRoute,
   type CallEnd,
   type RequestWorkspace,
@@ -56,7 +56,7 @@
   suspects: Pick<Suspects, 'assess' | 'quietMs'>;
   deadlines: Deadlines;
   sent(target: TargetRecord, first: boolean): void;
-  ended(host: string, route: string, end: PlacedEnd): void;
+  ended(host: string, route: string, end: PlacedCallResult): void;
   /** A host's gate has no target to offer: others come first for a while. */
   avoid(host: string): void;
 }
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -406,14 +406,14 @@
       choose: (candidates, excluded, route) => this._placement.choose(candidates, excluded, route),
       offer: (target, call, done) => this._offer(target, call, done),
       sent: (target, first) => {
-        this._placement.sent(target.host);
+        this._placement.recordSent(target.host);
         this._metrics.placed(target.service, this._placeOf(target), !first);
       },
       ended: (host, route, end) => {
-        this._placement.ended(host, route, end);
+        this._placement.recordResult(host, route, end);
       },
       avoid: (host) => {
-        this._placement.avoid(host);
+        this._placement.markUnreachable(host);
       },
     };
   }
@@ -486,7 +486,7 @@
   /** Why a host that is ready gets no calls from here: nothing else tells who holds what against it. */
   private _logPassedOver(): void {
     const ready = [...this._directory.values()].filter(({ state }) => state === 'ready');
-    const targets = this._placement.passedOver(ready);
+    const targets = this._placement.unchosenTargets(ready);
     if (targets.length > 0) {
       this._events.notable('calls', 'Targets are ready and get no calls from here.', {
         count: targets.length,
@@ -529,9 +529,9 @@
     this._follower.reached(host, reached);
     this._workspaces.quotas.reached(host, reached);
     if (reached) {
-      this._placement.reached(host);
+      this._placement.markReachable(host);
     } else {
-      this._placement.avoid(host);
+      this._placement.markUnreachable(host);
     }
   }
 }
--- a/packages/mesh/src/app/records/hostRecords.ts
+++ b/packages/mesh/src/app/records/hostRecords.ts
@@ -226,9 +226,9 @@
   private _noteTarget(before: TargetRecord | undefined, record: TargetRecord): void {
     const { placement } = this._deps;
     if (before && !isSameIncarnation(before, record)) {
-      placement.forget(record.host);
+      placement.resetHost(record.host);
     } else if (record.state === 'ready' && before?.state !== 'ready') {
-      placement.reached(record.host);
+      placement.markReachable(record.host);
     }
   }
 
--- a/tests/routing/deadTargets.spec.ts
+++ b/tests/routing/deadTargets.spec.ts
@@ -27,20 +27,20 @@
 const kRunMs = 40;
 const kHopMs = 1;
 /** Time until a change of a record is known to other daemons, in milliseconds. */
-const kToldMs = 5;
+const kPropagationMs = 5;
 const kTickMs = 100;
 const kRoute = { name: 'read', latencyTargetMs: 400, idempotent: true, maxAttempts: 2 };
 
 interface FleetCounts {
   offers: number;
-  vain: number;
+  unsuccessful: number;
   requests: number;
   served: number;
 }
 
 /** Hosts with a gate and an ingress each, over virtual time. */
-class GoneTargets {
-  readonly counts: FleetCounts = { offers: 0, vain: 0, requests: 0, served: 0 };
+class FleetWithDeadTargets {
+  readonly counts: FleetCounts = { offers: 0, unsuccessful: 0, requests: 0, served: 0 };
   private readonly _directory = new TargetDirectory();
   private readonly _placements: Placement[] = [];
   private readonly _gates: SlotGate<{
@@ -56,7 +56,7 @@
   constructor(
     private readonly _time: VirtualTime,
     private readonly _random: () => number,
-    readonly gone: Set<number>,
+    readonly dead: Set<number>,
   ) {
     for (let i = 0; i < kHosts; i++) {
       this._placements.push(new Placement(`h${i}`, 'z', _random));
@@ -72,7 +72,7 @@
       });
       gate.open(kSlots, 0);
       this._gates.push(gate);
-      this.tell(i);
+      this.publishRecord(i);
     }
     this._tick();
   }
@@ -100,16 +100,17 @@
       const { host } = step.value.target;
       const sentAt = this._time.now;
       this.counts.offers++;
-      placement.sent(host);
+      placement.recordSent(host);
       this._offer(Number(host.slice(1)), (end) => {
-        const vain = isVain(end);
-        this.counts.vain += vain ? 1 : 0;
+        const unsuccessful = isVain(end);
+        this.counts.unsuccessful += unsuccessful ? 1 : 0;
         const gate = this._gates[Number(host.slice(1))];
-        const load = gate && !vain ? { inFlight: gate.inFlight, queued: gate.queued, limit: gate.limit, meanMs: gate.meanMs } : undefined;
-        if (vain) {
-          placement.avoid(host);
+        const load =
+          gate && !unsuccessful ? { inFlight: gate.inFlight, queued: gate.queued, limit: gate.limit, meanMs: gate.meanMs } : undefined;
+        if (unsuccessful) {
+          placement.markUnreachable(host);
         }
-        placement.ended(host, kRoute.name, {
+        placement.recordResult(host, kRoute.name, {
           load,
           tookMs: end.kind === 'answered' ? this._time.now - sentAt : undefined,
           failed: end.kind === 'lost',
@@ -121,7 +122,7 @@
   }
 
   /** Makes the record of a host known. */
-  tell(at: number): void {
+  publishRecord(at: number): void {
     const revision = (this._revisions[at] ?? 0) + 1;
     this._revisions[at] = revision;
     const state = this._reach[at]?.reachable === true ? 'ready' : 'unreachable';
@@ -136,11 +137,11 @@
       epoch: 1,
       revision,
     };
-    this._time.after(kToldMs, () => {
+    this._time.after(kPropagationMs, () => {
       this._directory.learn(record);
       if (state === 'ready') {
         this._placements.forEach((placement) => {
-          placement.reached(record.host);
+          placement.markReachable(record.host);
         });
       }
     });
@@ -175,8 +176,8 @@
 
   private _run(at: number, id: number, reply: (end: CallEnd) => void): void {
     const gate = this._gates[at];
-    if (this.gone.has(at)) {
-      this._note(at, 'refused');
+    if (this.dead.has(at)) {
+      this._recordEvidence(at, 'refused');
       gate?.ended(id);
       reply({ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 });
       return;
@@ -187,7 +188,7 @@
     });
   }
 
-  private _note(at: number, evidence: 'refused' | 'connected'): void {
+  private _recordEvidence(at: number, evidence: 'refused' | 'connected'): void {
     if (this._reach[at]?.note(evidence, this._time.now) !== true) {
       return;
     }
@@ -196,13 +197,13 @@
     } else {
       this._gates[at]?.open(kSlots, 0);
     }
-    this.tell(at);
+    this.publishRecord(at);
   }
 
   private _tick(): void {
     for (let at = 0; at < kHosts; at++) {
       if (this._reach[at]?.takeProbe(this._time.now) === true) {
-        this._note(at, this.gone.has(at) ? 'refused' : 'connected');
+        this._recordEvidence(at, this.dead.has(at) ? 'refused' : 'connected');
       }
     }
     this._time.after(kTickMs, () => {
@@ -212,15 +213,20 @@
 }
 
 /** Poisson arrivals at a share of what the living targets can do; counts from `from` on, in milliseconds. */
-function play(share: number, untilMs: number, fromMs: number, change?: (fleet: GoneTargets, now: number) => void): FleetCounts {
+function simulate(
+  share: number,
+  untilMs: number,
+  fromMs: number,
+  change?: (fleet: FleetWithDeadTargets, now: number) => void,
+): FleetCounts {
   const time = new VirtualTime();
   try {
     const random = seededRandom(11);
-    const fleet = new GoneTargets(time, random, new Set(Array.from({ length: kHosts / 10 }, (_, i) => i * 10)));
+    const fleet = new FleetWithDeadTargets(time, random, new Set(Array.from({ length: kHosts / 10 }, (_, i) => i * 10)));
     const perMs = (share * (kHosts - kHosts / 10) * kSlots) / kRunMs;
-    time.runUntil(kToldMs + 1);
+    time.runUntil(kPropagationMs + 1);
     let before: FleetCounts = { ...fleet.counts };
-    for (let now = kToldMs + 2; now < untilMs; now++) {
+    for (let now = kPropagationMs + 2; now < untilMs; now++) {
       change?.(fleet, now);
       for (let due = perMs + random() - 0.5; due > 0; due--) {
         if (due >= 1 || random() < due) {
@@ -236,7 +242,7 @@
     const after = fleet.counts;
     return {
       offers: after.offers - before.offers,
-      vain: after.vain - before.vain,
+      unsuccessful: after.unsuccessful - before.unsuccessful,
       requests: after.requests - before.requests,
       served: after.served - before.served,
     };
@@ -247,43 +253,43 @@
 
 describe('a tenth of the targets gone, their daemons alive', () => {
   itAlone('should offer next to nothing to the dead after a second, at 0.7 of what the others can do', (t) => {
-    const { offers, vain, requests, served } = play(0.7, 3_000, 1_000);
-    t.true(vain <= 0.005 * offers, `${vain} of ${offers} offers in vain`);
+    const { offers, unsuccessful, requests, served } = simulate(0.7, 3_000, 1_000);
+    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers in vain`);
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
   });
 
   itAlone('should do so at 1.2, and keep the others busy', (t) => {
-    const { offers, vain, requests, served } = play(1.2, 3_000, 1_000);
-    t.true(vain <= 0.005 * offers, `${vain} of ${offers} offers in vain`);
+    const { offers, unsuccessful, requests, served } = simulate(1.2, 3_000, 1_000);
+    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers in vain`);
     t.true(served >= 0.7 * requests, `${served} of ${requests} served`);
   });
 
   itAlone('should serve in the first second too, as an offer in vain takes no attempt', (t) => {
-    const { requests, served } = play(0.7, 1_000, 10);
+    const { requests, served } = simulate(0.7, 1_000, 10);
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
   });
 
   itAlone('should use targets again within a second and a half of their return', (t) => {
-    const { requests, served, vain, offers } = play(0.95, 6_000, 3_500, (fleet, now) => {
+    const { requests, served, unsuccessful, offers } = simulate(0.95, 6_000, 3_500, (fleet, now) => {
       if (now === 2_000) {
-        fleet.gone.clear();
+        fleet.dead.clear();
       }
     });
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
-    t.true(vain <= 0.005 * offers, `${vain} of ${offers} offers in vain`);
+    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers in vain`);
   });
 
   itAlone('should bound what a flapping target costs', (t) => {
-    const { offers, vain, requests, served } = play(0.7, 6_000, 1_000, (fleet, now) => {
+    const { offers, unsuccessful, requests, served } = simulate(0.7, 6_000, 1_000, (fleet, now) => {
       if (now % 1_000 === 0) {
-        if (fleet.gone.has(3)) {
-          fleet.gone.delete(3);
+        if (fleet.dead.has(3)) {
+          fleet.dead.delete(3);
         } else {
-          fleet.gone.add(3);
+          fleet.dead.add(3);
         }
       }
     });
-    t.true(vain <= 0.005 * offers, `${vain} of ${offers} offers in vain`);
+    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers in vain`);
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
   });
 });
--- a/tests/routing/picker.spec.ts
+++ b/tests/routing/picker.spec.ts
@@ -18,7 +18,7 @@
   for (let i = 0; i < count; i++) {
     const choice = picker.pick(candidates, new Set(), kLater);
     if (choice) {
-      choice.stats.offered();
+      choice.stats.recordOffer();
       picked.set(choice.candidate.zone, (picked.get(choice.candidate.zone) ?? 0) + 1);
     }
   }
@@ -50,10 +50,10 @@
     const picker = warmPicker(candidates);
     for (const failing of candidates) {
       for (let i = 0; i < 20; i++) {
-        picker.failed(failing, candidates, kLater);
+        picker.recordFailure(failing, candidates, kLater);
       }
     }
-    const ejected = candidates.filter((each) => picker.statsOf(each, kLater).ejected(kLater)).length;
+    const ejected = candidates.filter((each) => picker.statsOf(each, kLater).isEjected(kLater)).length;
     t.is(ejected, 1);
   });
 
@@ -66,7 +66,7 @@
   it('should trust a load report less the older it is', (t) => {
     const picker = warmPicker([candidate('e1', 'east')]);
     const stats = picker.statsOf(candidate('e1', 'east'), 0);
-    stats.report(100, 10, 0);
+    stats.recordReport(100, 10, 0);
     t.true(stats.utilisation(0) >= 10);
     t.is(stats.utilisation(1_000), 0);
   });
--- a/tests/routing/placement.spec.ts
+++ b/tests/routing/placement.spec.ts
@@ -26,20 +26,20 @@
   }
 }
 
-function answer(placement: Placement, host: string, route: string, tookMs: number): void {
-  placement.sent(host);
-  placement.ended(host, route, { tookMs, failed: false });
+function recordAnswer(placement: Placement, host: string, route: string, tookMs: number): void {
+  placement.recordSent(host);
+  placement.recordResult(host, route, { tookMs, failed: false });
 }
 
 describe('placement', () => {
   itAlone('should stay in its zone unless waiting there costs more than leaving it', (t) => {
     withPlacement((placement) => {
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
-      answer(placement, 'near', 'search', 60);
-      answer(placement, 'far', 'search', 40);
+      recordAnswer(placement, 'near', 'search', 60);
+      recordAnswer(placement, 'far', 'search', 40);
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
       for (let i = 0; i < 30; i++) {
-        answer(placement, 'near', 'search', 300);
+        recordAnswer(placement, 'near', 'search', 300);
       }
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kFar);
     });
@@ -48,8 +48,8 @@
   itAlone('should leave its zone for a free target when its own is full, and not before', (t) => {
     withPlacement((placement) => {
       const load = (inFlight: number): void => {
-        placement.sent('near');
-        placement.ended('near', 'search', { load: { inFlight, queued: 0, limit: 10, meanMs: 50 }, tookMs: 50, failed: false });
+        placement.recordSent('near');
+        placement.recordResult('near', 'search', { load: { inFlight, queued: 0, limit: 10, meanMs: 50 }, tookMs: 50, failed: false });
       };
       load(7);
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
@@ -61,8 +61,8 @@
   itAlone('should not leave its zone because other routes take longer there', (t) => {
     withPlacement((placement) => {
       for (let i = 0; i < 30; i++) {
-        answer(placement, 'near', 'report', 2_000);
-        answer(placement, 'near', 'search', 50);
+        recordAnswer(placement, 'near', 'report', 2_000);
+        recordAnswer(placement, 'near', 'search', 50);
       }
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
     });
@@ -70,7 +70,7 @@
 
   itAlone('should take a host that it does not know for an ordinary one', (t) => {
     withPlacement((placement) => {
-      answer(placement, 'near', 'search', 150);
+      recordAnswer(placement, 'near', 'search', 150);
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
     });
   });
@@ -78,8 +78,8 @@
   itAlone('should not leave its zone for a single failure, but for a target that keeps failing, and come back later', (t) => {
     withPlacement((placement, time) => {
       const end = (failed: boolean): void => {
-        placement.sent('near');
-        placement.ended('near', 'search', { tookMs: failed ? undefined : 50, failed });
+        placement.recordSent('near');
+        placement.recordResult('near', 'search', { tookMs: failed ? undefined : 50, failed });
       };
       end(false);
       end(true);
@@ -105,15 +105,15 @@
       const placement = new Placement('near', 'z1', random);
       const twin = record('twin', 'z1');
       for (let i = 0; i < 10; i++) {
-        answer(placement, 'near', 'search', 300);
-        answer(placement, 'twin', 'search', 10);
+        recordAnswer(placement, 'near', 'search', 300);
+        recordAnswer(placement, 'twin', 'search', 10);
       }
       let slow = 0;
       let used = 0;
       for (let now = 0; now < 20_000; now += 20) {
         time.runUntil(now);
         const chosen = placement.choose([kNear, twin], kNone, kRoute)?.host ?? '';
-        answer(placement, chosen, 'search', 10);
+        recordAnswer(placement, chosen, 'search', 10);
         slow += chosen === 'near' && now < 2_000 ? 1 : 0;
         used += chosen === 'near' && now >= 15_000 ? 1 : 0;
       }
@@ -128,18 +128,18 @@
     withPlacement((placement) => {
       const twin = record('twin', 'z1');
       for (let i = 0; i < 10; i++) {
-        answer(placement, 'near', 'search', 300);
-        answer(placement, 'twin', 'search', 10);
+        recordAnswer(placement, 'near', 'search', 300);
+        recordAnswer(placement, 'twin', 'search', 10);
       }
       for (let i = 0; i < 120; i++) {
         placement.choose([kNear, kFar, twin], kNone, kRoute);
       }
-      const [passed, ...more] = placement.passedOver([kNear, kFar, twin]);
+      const [unchosen, ...more] = placement.unchosenTargets([kNear, kFar, twin]);
       t.deepEqual(more, []);
-      t.is(passed?.host, 'near');
-      t.is(passed?.comparisons, 120);
-      t.deepEqual(passed?.meanMs, { search: 300 });
-      t.true((passed?.usualMs.search ?? 300) < 200);
+      t.is(unchosen?.host, 'near');
+      t.is(unchosen?.comparisons, 120);
+      t.deepEqual(unchosen?.meanMs, { search: 300 });
+      t.true((unchosen?.usualMs.search ?? 300) < 200);
     });
   });
 
@@ -152,7 +152,7 @@
       for (let now = 0; now < 20_000; now += 20) {
         time.runUntil(now);
         const chosen = placement.choose([kNear, twin], kNone, kRoute)?.host ?? '';
-        answer(placement, chosen, 'search', chosen === 'near' ? 300 : 10);
+        recordAnswer(placement, chosen, 'search', chosen === 'near' ? 300 : 10);
         slow += chosen === 'near' ? 1 : 0;
       }
       t.true(slow <= 20, `${slow} of 1000 calls`);
@@ -164,17 +164,17 @@
   itAlone('should spread over equal targets by what is outstanding', (t) => {
     withPlacement((placement) => {
       const twin = record('twin', 'z1');
-      placement.sent('near');
+      placement.recordSent('near');
       t.is(placement.choose([kNear, twin], kNone, kRoute), twin);
-      placement.sent('twin');
-      placement.sent('twin');
+      placement.recordSent('twin');
+      placement.recordSent('twin');
       t.is(placement.choose([kNear, twin], kNone, kRoute), kNear);
     });
   });
 
   itAlone('should pass over a host that can not be reached, for a while, unless there is no other', (t) => {
     withPlacement((placement, time) => {
-      placement.avoid('near');
+      placement.markUnreachable('near');
       t.is(placement.choose([kNear, kFar], kNone, kRoute), kFar);
       t.is(placement.choose([kNear], kNone, kRoute), kNear);
       time.runUntil(5_000);
@@ -186,16 +186,16 @@
     const inZone = { name: 'capacity', latencyTargetMs: 300 };
     const chained = { name: 'report', latencyTargetMs: 1_500 };
     const reported = (placement: Placement, host: string, chargeMs: number): void => {
-      placement.sent(host);
+      placement.recordSent(host);
       const load = { inFlight: 1, queued: 0, limit: 10, meanMs: 50, chargeMs };
-      placement.ended(host, 'report', { load, tookMs: 50, bytes: 1_000, failed: false });
+      placement.recordResult(host, 'report', { load, tookMs: 50, bytes: 1_000, failed: false });
     };
 
     itAlone('should grow with the load of the targets that calls go to, and fade when there are none', (t) => {
       withPlacement((placement, time) => {
         t.is(placement.chargeMs('capacity'), 0);
         for (let i = 0; i < 40; i++) {
-          placement.sent('near');
+          placement.recordSent('near');
           placement.choose([kNear], kNone, inZone);
         }
         const full = placement.chargeMs('capacity');
@@ -229,8 +229,12 @@
         const placement = new Placement('near', 'z1', () => 0.5);
         const sized = (name: string, bytes: number): void => {
           for (let i = 0; i < 60; i++) {
-            placement.sent('near');
-            placement.ended('near', name, { load: { inFlight: 1, queued: 0, limit: 10, meanMs: 50, chargeMs: 250 }, bytes, failed: false });
+            placement.recordSent('near');
+            placement.recordResult('near', name, {
+              load: { inFlight: 1, queued: 0, limit: 10, meanMs: 50, chargeMs: 250 },
+              bytes,
+              failed: false,
+            });
           }
         };
         sized('small', 300);
--- a/tests/routing/routeRequest.spec.ts
+++ b/tests/routing/routeRequest.spec.ts
@@ -17,7 +17,7 @@
   return { host, zone: 'z', peers: '', service: 's', instance: `i-${host}`, state: 'ready', slots: 1, epoch: 1, revision: 1 };
 }
 
-function play(idempotent: boolean, maxAttempts: number, ends: readonly CallEnd[]): { offers: Offer[]; end: RouteEnd } {
+function runRoute(idempotent: boolean, maxAttempts: number, ends: readonly CallEnd[]): { offers: Offer[]; end: RouteEnd } {
   const hosts = ['a', 'b', 'c', 'd', 'e'].map(record);
   const procedure = routeRequest(
     { idempotent, maxAttempts },
@@ -41,7 +41,7 @@
 describe('routing procedure', () => {
   it('should never send twice what may have run and must not repeat', (t) => {
     for (const first of [kAnswered, kFailed, kLost]) {
-      const { offers, end } = play(false, 3, [first, kAnswered]);
+      const { offers, end } = runRoute(false, 3, [first, kAnswered]);
       t.is(offers.length, 1);
       t.is(end, first);
     }
@@ -49,13 +49,13 @@
 
   it('should go on after a proof that nothing ran', (t) => {
     for (const first of [kRefused, kShed]) {
-      t.is(play(false, 3, [first, kAnswered]).end, kAnswered);
+      t.is(runRoute(false, 3, [first, kAnswered]).end, kAnswered);
     }
   });
 
   it('should repeat what may be repeated, on another target', (t) => {
     for (const first of [kFailed, kLost]) {
-      const { offers, end } = play(true, 2, [first, kAnswered]);
+      const { offers, end } = runRoute(true, 2, [first, kAnswered]);
       t.is(end, kAnswered);
       t.deepEqual(
         offers.map(({ target, repeat }) => [target.host, repeat]),
@@ -75,7 +75,7 @@
         fc.integer({ min: 1, max: 3 }),
         fc.array(anyEnd, { minLength: 5, maxLength: 5 }),
         (idempotent, maxAttempts, ends) => {
-          const { offers, end } = play(idempotent, maxAttempts, ends);
+          const { offers, end } = runRoute(idempotent, maxAttempts, ends);
           const got = ends.slice(0, offers.length);
           const ran = got.filter(({ kind }) => kind !== 'not_run').length;
           return (end.kind !== 'not_run' || ran === 0) && ran <= (idempotent ? maxAttempts : 1);
@@ -86,6 +86,6 @@
   });
 
   it('should give the answer of a failing target when nobody else takes the repeat', (t) => {
-    t.is(play(true, 2, [kFailed, kRefused, kRefused, kRefused, kRefused]).end, kFailed);
+    t.is(runRoute(true, 2, [kFailed, kRefused, kRefused, kRefused, kRefused]).end, kFailed);
   });
 });
--- a/tests/routing/targetSubset.spec.ts
+++ b/tests/routing/targetSubset.spec.ts
@@ -30,36 +30,36 @@
   }));
 }
 
-function usualOf(ingress: number, candidates: readonly TargetRecord[]): readonly TargetRecord[] {
+function primaryOf(ingress: number, candidates: readonly TargetRecord[]): readonly TargetRecord[] {
   const host = `host-${ingress}`;
-  return subsetFor(host, zoneOf(ingress), candidates, new RendezvousRank(host)).usual;
+  return subsetFor(host, zoneOf(ingress), candidates, new RendezvousRank(host)).primary;
 }
 
 describe('the subset of targets that an ingress uses', () => {
   it('should hold all targets of a small service', (t) => {
-    t.is(usualOf(150, targets(3)).length, 3);
-    t.is(usualOf(150, targets(12)).length, 12);
+    t.is(primaryOf(150, targets(3)).length, 3);
+    t.is(primaryOf(150, targets(12)).length, 12);
   });
 
   it('should hold the own host and stay in the own zone while that has enough targets', (t) => {
-    const usual = usualOf(3, targets(100));
-    t.is(usual[0]?.host, 'host-3');
-    t.true(usual.every(({ zone }) => zone === zoneOf(3)));
-    t.true(usual.length <= 9);
+    const primary = primaryOf(3, targets(100));
+    t.is(primary[0]?.host, 'host-3');
+    t.true(primary.every(({ zone }) => zone === zoneOf(3)));
+    t.true(primary.length <= 9);
   });
 
   it('should be filled up from other zones where the own one has few targets', (t) => {
     const candidates = targets(100).filter(({ zone }, i) => zone !== 'zone-0' || i === 0);
-    const usual = usualOf(105, candidates);
-    t.is(usual.length, 8);
-    t.is(usual.filter(({ zone }) => zone === 'zone-0').length, 1);
+    const primary = primaryOf(105, candidates);
+    t.is(primary.length, 8);
+    t.is(primary.filter(({ zone }) => zone === 'zone-0').length, 1);
   });
 
   it('should use each target from many ingresses, also one that has just joined', (t) => {
     const candidates = targets(100);
     const uses = new Map<string, number>();
     for (let ingress = 0; ingress < kIngresses; ingress++) {
-      usualOf(ingress, candidates).forEach(({ host }) => uses.set(host, (uses.get(host) ?? 0) + 1));
+      primaryOf(ingress, candidates).forEach(({ host }) => uses.set(host, (uses.get(host) ?? 0) + 1));
     }
     t.is(uses.size, candidates.length);
     t.true(Math.min(...uses.values()) >= 8);
@@ -67,9 +67,9 @@
 
   it('should change by one target only when one leaves', (t) => {
     const candidates = targets(100);
-    const before = usualOf(3, candidates);
+    const before = primaryOf(3, candidates);
     const gone = before[4];
-    const after = usualOf(
+    const after = primaryOf(
       3,
       candidates.filter((target) => target !== gone),
     );
@@ -94,14 +94,14 @@
           return;
         }
         const { host } = target;
-        placement.sent(host);
+        placement.recordSent(host);
         inFlight.set(host, (inFlight.get(host) ?? 0) + 1);
         calls.set(host, (calls.get(host) ?? 0) + 1);
         const tookMs = slow.has(host) ? 4_000 : 500;
         time.after(tookMs, () => {
           inFlight.set(host, (inFlight.get(host) ?? 0) - 1);
           const load = { inFlight: inFlight.get(host) ?? 0, queued: 0, limit: 30, meanMs: tookMs };
-          placement.ended(host, kRoute.name, { load, tookMs, failed: false });
+          placement.recordResult(host, kRoute.name, { load, tookMs, failed: false });
         });
       };
       for (let at = 0; at < 20_000; at++) {
