--- a/packages/core/src/routing/classifier.ts
+++ b/packages/core/src/routing/classifier.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Finds the request class of a call. */
+/** Assigns calls to the request classes of a configuration. */
 
 import type { Config, RequestClass } from '@gentiandrum/protocol';
 
@@ -18,7 +18,7 @@
   segments: readonly string[];
 }
 
-/** Classifier for one configuration. Longer patterns go first, so that the order in the file doesn't matter. */
+/** Matches calls against the classes of one configuration, the most specific pattern first, regardless of their order in it. */
 export class Classifier {
   private readonly _rules = new Map<string, Rule[]>();
 
@@ -34,12 +34,11 @@
     }
   }
 
-  /** Whether the configuration declares the service. */
   hasService(service: string): boolean {
     return this._rules.has(service);
   }
 
-  /** The class of a call; `path` without query. */
+  /** Returns the class of a call, or undefined if none matches. `path` has no query string. */
   classify(service: string, method: string, path: string): NamedClass | undefined {
     const segments = splitPath(path);
     return this._rules.get(service)?.find((rule) => matches(rule, method, segments))?.cls;
--- a/packages/core/src/routing/placement.ts
+++ b/packages/core/src/routing/placement.ts
@@ -4,10 +4,9 @@
  */
 
 /**
- * Chooses the target of a call by the time that the caller would wait for it, with charges in milliseconds for what else it
- * costs: bytes that leave the zone, a target that is nearly full, and the same for the calls that the run itself will make.
- *
- * The charge of the calls below makes work leave a full zone at the top of its chain, where one crossing carries all of it.
+ * Chooses the target of a call by its expected duration plus charges, in milliseconds, for traffic between zones, for a nearly full
+ * target, and for the downstream calls of the run. The charge for downstream calls moves work out of a full zone at the top of its call
+ * chain, where a single call crosses zones.
  */
 
 import type { TargetRecord } from '../membership/targetRecord.js';
@@ -19,70 +18,67 @@
 import { subsetFor, type TargetSubset } from './targetSubset.js';
 
 /**
- * Charge for another zone, in milliseconds for each KiB of a call and its answer: bytes between zones cost money, so a call
- * leaves its zone only when it gains more than this. At most a share of the latency target, which people count on.
+ * Charge for traffic between zones, in milliseconds for each KiB of a request and its response, and its upper bound as a share of the
+ * latency target.
  */
 const kZoneChargePerKib = 150;
 const kMaxZoneChargeShare = 0.4;
-/** KiB of a call and its answer that are assumed until one ended, and what comes with every call: names, ids, times. */
+/** Assumed size of a call before the first result, and the size of the metadata of each call, in KiB. */
 const kAssumedKib = 1;
 const kHeaderKib = 0.16;
 /**
- * Loads between which the charge for a busy target grows, up to a multiple of the charge for another zone: a full target is left
- * for one that has room, and not for one that is nearly as full.
+ * Loads between which the charge for a busy target grows linearly, and its maximum as a multiple of the charge for another zone. A full
+ * target loses to one with free capacity, but not to one that is nearly as full.
  */
 const kBusyLoad = 0.85;
 const kFullLoad = 1.15;
 const kFullLoadChargeFactor = 1.5;
-/** Weight of the charge of the calls below in another zone: a chain that is about as dear there stays where it is. */
+/** Weight of the charge for downstream calls in another zone: a call chain moves there only if it costs clearly less. */
 const kOtherZoneChainWeight = 2;
-/** Time for a round trip between zones, in milliseconds; of the order of what deployments report. */
+/** Assumed round-trip time between zones, in milliseconds. */
 const kZoneRoundTripMs = 3;
 /**
- * Share of failures that is not charged, as chains fail for reasons further down too, and the multiple of the mean time per call
- * that is charged for a share of one above that.
+ * Failure rate that is not charged, as calls also fail because of downstream targets, and the charge for the rate above it, as a multiple
+ * of the mean call duration.
  */
 const kToleratedFailureRate = 0.1;
 const kFailureChargeFactor = 20;
-/** Time per call that is assumed until one ended, in milliseconds. */
+/** Assumed duration of a call before the first result, in milliseconds. */
 const kAssumedCallMs = 20;
-/** Share of the mean time that is charged for a load of one, so that of equal targets the emptier one is taken. */
+/** Share of the mean call duration that is charged for a load of one, so that the less loaded of two equal targets wins. */
 const kLoadTieBreakFactor = 0.5;
 /**
- * Targets beyond the usual ones that are compared when those are full or can't be reached, drawn anew for each call: ingresses whose
- * usual targets are full together don't all go to the same next one.
+ * Fallback targets that are compared when the primary ones are full or unreachable. They are sampled for each call, so that ingresses with
+ * full primary targets do not all switch to the same one.
  */
 const kFallbackSampleSize = 6;
-/** Charge for a target that can't be reached, in milliseconds: above all others. */
+/** Charge for an unreachable target, in milliseconds; larger than any other charge. */
 const kUnreachableChargeMs = 1e6;
-/**
- * Comparisons in a row that a target of the own zone loses before that is worth a line in the log: of the eight or so usual ones an
- * ordinary target wins one in eight, so an engineer who asks why a host gets no work finds only those that something is held against.
- */
+/** Consecutive comparisons without being chosen after which a target of the local zone is reported. */
 const kUnchosenComparisons = 100;
 
-/** A target of the own zone that lost many comparisons in a row, and what was held against it. */
+/** A target of the local zone that is compared repeatedly but never chosen, with the values that decide its score. */
 export interface UnchosenTarget {
   host: string;
   comparisons: number;
-  /** Mean times of its calls by their routes, in milliseconds, and those over all hosts. */
+  /** Mean call durations by route, in milliseconds, of this host and over all hosts. */
   meanMs: Record<string, number>;
   usualMs: Record<string, number>;
-  /** Share of its calls that failed. */
+  /** Failure rate of its calls. */
   failures: number;
-  /** How much longer it is taken for unreachable, in milliseconds. */
+  /** Remaining time for which it is deprioritized as unreachable, in milliseconds. */
   avoidedMs: number;
-  /** Calls on it and on the way to it, for each that it may run at once. */
+  /** Calls at the target and in transit to it, divided by the number that it runs concurrently. */
   load: number;
 }
 
-/** What a choice needs of a route. */
+/** The route data that a choice needs. */
 export interface PlacedRoute {
   name: string;
   latencyTargetMs: number;
 }
 
-/** What all comparisons of one choice share. */
+/** Inputs that are the same for all candidates of one choice. */
 interface ComparisonContext {
   route: PlacedRoute;
   excluded: ReadonlySet<string>;
@@ -91,7 +87,7 @@
   chainWeight: number;
 }
 
-/** A candidate as it was compared. */
+/** A candidate and its score; the lowest score wins. */
 interface ScoredTarget {
   target: TargetRecord;
   score: number;
@@ -100,16 +96,16 @@
   unreachable: boolean;
 }
 
-/** Chooses targets, and remembers how they did. Times are kept by route: those of different routes can't be compared. */
+/** Chooses targets and keeps statistics about them. Durations are kept by route, as those of different routes are not comparable. */
 export class Placement {
   private readonly _stats = new Map<string, HostStats>();
-  /** Mean time of a call by its route over all hosts, in milliseconds: what a host is taken for until it has shown better. */
+  /** Mean call duration by route over all hosts, in milliseconds; assumed for a host without results. */
   private readonly _routeMeanMs = new MovingAverages();
   private readonly _routeKib = new MovingAverages();
-  /** Charges of the targets that calls of a route went to. */
+  /** Mean charge of the chosen targets, by route, in milliseconds. */
   private readonly _routeChargeMs = new DecayingAverages(kChargeHalfLifeMs);
   private readonly _rank: RendezvousRank;
-  /** By the list of candidates, which is another one after each change of a record in it. */
+  /** Keyed by the list of candidates, which is replaced whenever one of its records changes. */
   private readonly _subsets = new WeakMap<readonly TargetRecord[], TargetSubset>();
 
   constructor(
@@ -121,9 +117,8 @@
   }
 
   /**
-   * The best candidate that is not excluded, among the usual ones of this ingress and, when those are full, some further ones. The
-   * cost of a choice does not grow with the service: 4 to 5 microseconds at 10, 100 and 500 targets (`bench:choice`, warm), where
-   * comparing them all took 6, 53 and 248.
+   * Returns the best candidate that is not excluded, among the primary ones and, when those are full or unreachable, a sample of the
+   * fallback ones. The cost does not grow with the number of candidates.
    */
   choose(candidates: readonly TargetRecord[], excluded: ReadonlySet<string>, route: PlacedRoute): TargetRecord | undefined {
     const now = monotonicMs();
@@ -132,7 +127,7 @@
       excluded,
       now,
       zoneChargeMs: this._zoneChargeMs(route),
-      // Drawn once a choice: a charge that is just over the one for another zone moves some calls, and not all of them at once.
+      // A random weight for each choice moves calls to another zone gradually rather than all at once.
       chainWeight: 2 * this._random(),
     };
     const { primary, fallback } = this._subsetOf(candidates);
@@ -148,12 +143,12 @@
     return best.target;
   }
 
-  /** Mean charge of the targets that calls of a route went to lately, in milliseconds; it fades when there are none. */
+  /** Exponentially decaying mean charge of the targets chosen for a route, in milliseconds. */
   chargeMs(route: string): number {
     return Math.min(kMaxChainChargeMs, this._routeChargeMs.valueAt(route, monotonicMs()));
   }
 
-  /** Targets of the own zone among `candidates` that are compared again and again and never chosen, with the reasons. */
+  /** Returns the targets of the local zone that are compared repeatedly but never chosen. */
   unchosenTargets(candidates: readonly TargetRecord[]): UnchosenTarget[] {
     const now = monotonicMs();
     return candidates.flatMap((target) => {
@@ -162,12 +157,10 @@
     });
   }
 
-  /** Notes that a call was sent to a host. */
   recordSent(host: string): void {
     this._statsOf(host).recordSent();
   }
 
-  /** Notes the end of a call. */
   recordResult(host: string, route: string, result: PlacedCallResult): void {
     if (result.bytes !== undefined) {
       this._routeKib.update(route, result.bytes / 1_024 + kHeaderKib);
@@ -178,17 +171,17 @@
     }
   }
 
-  /** Passes a host over for a while: it could not be reached. */
+  /** Deprioritizes a host for a limited time after it could not be reached. */
   markUnreachable(host: string): void {
     this._statsOf(host).markUnreachable(monotonicMs());
   }
 
-  /** Ends the avoidance of a host: it was heard of again. */
+  /** Stops deprioritizing a host. */
   markReachable(host: string): void {
     this._statsOf(host).markReachable();
   }
 
-  /** Starts afresh with a host whose target is a new one. */
+  /** Discards the statistics of a host whose target was replaced. */
   resetHost(host: string): void {
     this._stats.delete(host);
   }
@@ -219,7 +212,7 @@
     return subset;
   }
 
-  /** Half of the sample comes from the front, where the own zone is, as long as that has any. */
+  /** Takes up to half of the sample from the local zone, whose targets come first in the list. */
   private _sampleFallback(fallback: readonly TargetRecord[]): TargetRecord[] {
     if (fallback.length <= kFallbackSampleSize) {
       return [...fallback];
@@ -233,7 +226,7 @@
     ];
   }
 
-  /** `count` neighbours from a random place between two indices, around the end. */
+  /** Returns `count` consecutive items from a random start in the range, wrapping around at its end. */
   private _drawRun(list: readonly TargetRecord[], from: number, to: number, count: number): TargetRecord[] {
     const start = Math.floor(this._random() * (to - from));
     return Array.from({ length: count }, (_, i) => list[from + ((start + i) % (to - from))]).filter((target) => target !== undefined);
@@ -272,12 +265,12 @@
     return this._routeKib.get(route) ?? kAssumedKib;
   }
 
-  /** What a host is taken for that has not shown otherwise, in milliseconds. */
+  /** Mean call duration on a route over all hosts, in milliseconds. */
   private _usualMs(route: string): number {
     return this._routeMeanMs.get(route) ?? kAssumedCallMs;
   }
 
-  /** Time of a call, weighed by what it takes of the latency target; load breaks ties between equal targets. */
+  /** Mean call duration, weighted by its share of the latency target, plus charges for load and failures. */
   private _timeScore(stats: HostStats, { name: route, latencyTargetMs }: PlacedRoute, load: number, now: number): number {
     const mean = stats.meanMs(route, this._usualMs(route), now);
     const weighed = mean * Math.min(1, mean / latencyTargetMs);
@@ -295,7 +288,7 @@
   }
 }
 
-/** How full a target is, from 0 at an easy load to 1. */
+/** Maps a load to a value from 0 (up to kBusyLoad) to 1 (from kFullLoad). */
 function congestionOf(load: number): number {
   return Math.min(1, Math.max(0, (load - kBusyLoad) / (kFullLoad - kBusyLoad)));
 }
--- a/packages/core/src/routing/routeTable.ts
+++ b/packages/core/src/routing/routeTable.ts
@@ -3,11 +3,11 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Finds the route of a request, and the service that its share of the split falls to. */
+/** Finds the route of a request and splits its traffic between services. */
 
 import type { Destination, MeshConfig, Route } from '@gentiandrum/protocol';
 
-/** The routes of one configuration. */
+/** Looks up the routes of one configuration. */
 export class RouteTable {
   private readonly _byHost = new Map<string, Route[]>();
   private readonly _splits = new Map<Route, WeightedSplit>();
@@ -24,28 +24,28 @@
     }
   }
 
-  /** The route with the longest prefix of the path; `path` may carry a query. */
+  /** Returns the route with the longest matching prefix, if any; `path` may include a query string. */
   find(host: string, path: string): Route | undefined {
     const queryStart = path.indexOf('?');
     const pathname = queryStart < 0 ? path : path.slice(0, queryStart);
     return this._byHost.get(hostName(host))?.find((route) => pathname.startsWith(route.prefix));
   }
 
-  /** The service of the route's next request. */
+  /** Returns the service for the next request of a route, according to the weights of its destinations. */
   nextService(route: Route): string {
     const [only] = route.destinations;
     return route.destinations.length === 1 && only ? only.service : (this._splits.get(route)?.next() ?? '');
   }
 }
 
-/** Smooth weighted round robin: any run of requests holds the weights to within one request. */
+/** Smooth weighted round robin: any sequence of requests follows the weights closely. */
 class WeightedSplit {
   private readonly _credits: number[];
   private readonly _total: number;
 
   constructor(private readonly _destinations: readonly Destination[]) {
     this._total = _destinations.reduce((sum, { weight }) => sum + weight, 0);
-    // Random starts keep many daemons from sending their first requests to the same part.
+    // Random initial credits keep daemons that start together from choosing the same destination first.
     this._credits = _destinations.map(({ weight }) => Math.random() * weight);
   }
 
--- a/packages/core/src/routing/targetPicker.ts
+++ b/packages/core/src/routing/targetPicker.ts
@@ -4,16 +4,15 @@
  */
 
 /**
- * Chooses a target: own availability zone first, spilling over by utilisation, cross-region last; two random choices
- * within a zone; ejected targets left out up to a cap; slow start for new ones.
+ * Chooses a target by utilisation, with penalties for other availability zones and regions: the best of two random candidates in each
+ * locality. Ejects failing targets up to a cap, and ramps up new ones with a slow start.
  */
 
 import type { Random } from '../util/random.js';
 import { TargetStats } from './targetStats.js';
 
-/** A target that may take work. */
+/** A target that accepts requests. */
 export interface Candidate {
-  /** Name of the target. */
   target: string;
   /** Daemon on the target's host, and its address. */
   daemon: string;
@@ -25,19 +24,19 @@
   slots: number;
 }
 
-/** A choice and what was weighed for it. */
+/** A chosen candidate, and the scores that decided. */
 export interface Choice {
   candidate: Candidate;
   stats: TargetStats;
-  /** Scores of the compared targets, the lowest won. */
+  /** Scores of the compared targets; the lowest wins. */
   weighed: { target: string; score: number }[];
   reason: 'own_zone' | 'other_zone' | 'other_region';
 }
 
-/** Score that another availability zone, or another region, must be better by. */
+/** Added to the score of a target in another availability zone, or in another region. */
 const kZonePenalty = 0.3;
 const kRegionPenalty = 1;
-/** Share of a service's targets that may be ejected at once. */
+/** Largest share of a service's targets that may be ejected at the same time. */
 const kMaxEjected = 1 / 3;
 const kSlowStartMs = 5_000;
 const kSlowStartFloor = 0.2;
@@ -52,7 +51,7 @@
     private readonly _random: Random,
   ) {}
 
-  /** Chooses among `candidates`, leaving out those named in `tried` while others are left. */
+  /** Chooses among the `candidates` that are not in `tried`; ejected ones only if no other is left. */
   pick(candidates: readonly Candidate[], tried: ReadonlySet<string>, now: number): Choice | undefined {
     const untried = candidates.filter((candidate) => !tried.has(candidate.target));
     const eligible = untried.filter((candidate) => !this._isEjected(candidate, now));
@@ -74,7 +73,7 @@
     };
   }
 
-  /** Statistics of a target; begun afresh for a new incarnation of its daemon. */
+  /** Returns the statistics of a target; a new incarnation of its daemon starts with empty ones. */
   statsOf(candidate: Candidate, now: number): TargetStats {
     const key = `${candidate.target}@${candidate.incarnation}`;
     let stats = this._stats.get(key);
@@ -85,7 +84,7 @@
     return stats;
   }
 
-  /** Notes a failure of a target, and ejects it when due and while the cap allows. */
+  /** Records a failure of a target, and ejects it if its failures require it and the cap permits. */
   recordFailure(failing: Candidate, all: readonly Candidate[], now: number): void {
     const stats = this.statsOf(failing, now);
     if (!stats.recordFailure()) {
@@ -97,7 +96,7 @@
     }
   }
 
-  /** Forgets targets that are no longer members. */
+  /** Removes the statistics of all targets that are not in `candidates`. */
   retain(candidates: readonly Candidate[]): void {
     const keep = new Set(candidates.map((candidate) => `${candidate.target}@${candidate.incarnation}`));
     for (const key of this._stats.keys()) {
@@ -111,7 +110,7 @@
     return this.statsOf(candidate, now).isEjected(now);
   }
 
-  /** Two at random, or all when there are no more. */
+  /** Returns two random candidates, or all if there are at most two. */
   private _sample(pool: Candidate[]): Candidate[] {
     if (pool.length <= 2) {
       return pool;
--- a/packages/core/src/routing/targetStats.ts
+++ b/packages/core/src/routing/targetStats.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What one daemon has seen of one target: its own calls there, and the load that answers report. */
+/** Statistics that one daemon keeps about one target: its own outstanding offers, reported load and failures. */
 
 const kFailureWeight = 0.1;
 const kEjectFailureRate = 0.5;
@@ -11,10 +11,10 @@
 const kMinSamples = 10;
 const kInitialEjectMs = 2_000;
 const kMaxEjectMs = 30_000;
-/** Time after which reported load counts for nothing, in milliseconds. */
+/** Age at which a load report no longer counts, in milliseconds. */
 const kReportMaxAgeMs = 500;
 
-/** Statistics of one target as seen by one daemon. */
+/** Tracks the utilisation and failures of one target. Times are monotonic, in milliseconds. */
 export class TargetStats {
   private _outstanding = 0;
   private _reportedLoad = 0;
@@ -34,17 +34,15 @@
     this._limit = slots;
   }
 
-  /** Notes an offer to the target. */
   recordOffer(): void {
     this._outstanding++;
   }
 
-  /** Notes the end of an offer. */
   recordOfferResult(): void {
     this._outstanding--;
   }
 
-  /** Takes the load that the gate reported with an answer. */
+  /** Records the load that the gate reported with a response. */
   recordReport(load: number, limit: number, now: number): void {
     this._reportedLoad = load;
     this._limit = Math.max(1, limit);
@@ -52,14 +50,13 @@
     this._outstandingAtReport = this._outstanding;
   }
 
-  /** Estimated calls at the target per slot. */
+  /** Estimated calls at the target, divided by its concurrency limit. */
   utilisation(now: number): number {
     const weight = Math.max(0, 1 - (now - this._reportedAt) / kReportMaxAgeMs);
     const estimate = weight * (this._reportedLoad + this._outstanding - this._outstandingAtReport);
     return Math.max(estimate, this._outstanding) / this._limit;
   }
 
-  /** Notes that the target answered. */
   recordSuccess(): void {
     this._samples++;
     this._consecutiveFailures = 0;
@@ -69,7 +66,7 @@
     }
   }
 
-  /** Notes that the target failed; true when it now ought to be ejected. */
+  /** Records a failure; returns true if the target should be ejected. */
   recordFailure(): boolean {
     this._samples++;
     this._consecutiveFailures++;
@@ -77,7 +74,7 @@
     return this._consecutiveFailures >= kEjectAfterFailures || (this._samples >= kMinSamples && this._failureRate >= kEjectFailureRate);
   }
 
-  /** Sends no calls to the target for a while, longer each time. */
+  /** Ejects the target for a time that doubles with each ejection, up to kMaxEjectMs. */
   eject(now: number): void {
     this._ejectedUntil = now + Math.min(kMaxEjectMs, kInitialEjectMs * 2 ** this._ejections);
     this._ejections++;
@@ -86,7 +83,6 @@
     this._samples = 0;
   }
 
-  /** Whether the target is ejected as of `now`. */
   isEjected(now: number): boolean {
     return now < this._ejectedUntil;
   }
--- a/packages/core/src/routing/targetSubset.ts
+++ b/packages/core/src/routing/targetSubset.ts
@@ -4,30 +4,27 @@
  */
 
 /**
- * Which targets of a service one ingress uses by itself. Few and stable, so that it has fresh evidence of each and keeps few links;
- * ranked by rendezvous hashing, so that each target is used by about as many ingresses as any other.
+ * Selects the targets of a service that one ingress uses. The subset is small and stable, which keeps statistics fresh and links few;
+ * rendezvous hashing spreads the ingresses evenly over the targets.
  */
 
 import type { TargetRecord } from '../membership/targetRecord.js';
 import type { RendezvousRank } from '../util/rendezvous.js';
 
-/**
- * Targets that are compared for each call: with 8 of 20 in a zone of 40 hosts a target is used by 16 ingresses, and loses half of
- * them only by a chance of one in a thousand.
- */
+/** Primary targets besides the one on the local host. */
 const kSubsetSize = 8;
-/** Services up to this size are used whole: to compare a dozen targets takes no more than to hand on the call. */
+/** Largest number of targets at which all are primary. */
 const kMaxWholeSize = 12;
 
-/** The targets of a service as one ingress uses them. */
+/** Targets of a service, divided for one ingress. */
 export interface TargetSubset {
-  /** Compared for each call. */
+  /** Targets that are compared for each call. */
   primary: readonly TargetRecord[];
-  /** The others, taken when the usual ones are full or can't be reached: own zone first, each by rank. */
+  /** Targets for when the primary ones are full or unreachable: those of the local zone first, then the others, both by rank. */
   fallback: readonly TargetRecord[];
 }
 
-/** Divides the candidates of a service for the ingress on a host, by the rank that they have for that host. */
+/** Divides the candidates of a service for the ingress on `host`, by the rank that they have for it. */
 export function subsetFor(host: string, zone: string, candidates: readonly TargetRecord[], rank: RendezvousRank): TargetSubset {
   if (candidates.length <= kMaxWholeSize) {
     return { primary: candidates, fallback: [] };
--- a/tests/routing/deadTargets.spec.ts
+++ b/tests/routing/deadTargets.spec.ts
@@ -3,10 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * The load of a fleet in which a tenth of the targets of a service is gone while their daemons live: what those say of themselves is
- * "empty and quick", so each choice by load would go there.
- */
+/** Guards against sending calls to dead targets whose daemons still run: their gates report no load and would win each comparison. */
 
 import {
   type CallEnd,
@@ -26,7 +23,7 @@
 const kSlots = 8;
 const kRunMs = 40;
 const kHopMs = 1;
-/** Time until a change of a record is known to other daemons, in milliseconds. */
+/** Time until other daemons know a changed record, in milliseconds. */
 const kPropagationMs = 5;
 const kTickMs = 100;
 const kRoute = { name: 'read', latencyTargetMs: 400, idempotent: true, maxAttempts: 2 };
@@ -38,7 +35,7 @@
   served: number;
 }
 
-/** Hosts with a gate and an ingress each, over virtual time. */
+/** Hosts with a gate and an ingress each, in virtual time. */
 class FleetWithDeadTargets {
   readonly counts: FleetCounts = { offers: 0, unsuccessful: 0, requests: 0, served: 0 };
   private readonly _directory = new TargetDirectory();
@@ -77,7 +74,7 @@
     this._tick();
   }
 
-  /** Sends one request from an ingress drawn at random. */
+  /** Sends one request from a random ingress. */
   request(): void {
     const ingress = Math.floor(this._random() * kHosts);
     const placement = this._placements[ingress];
@@ -121,7 +118,7 @@
     advance(procedure.next());
   }
 
-  /** Makes the record of a host known. */
+  /** Publishes the record of a host to all daemons. */
   publishRecord(at: number): void {
     const revision = (this._revisions[at] ?? 0) + 1;
     this._revisions[at] = revision;
@@ -212,7 +209,7 @@
   }
 }
 
-/** Poisson arrivals at a share of what the living targets can do; counts from `from` on, in milliseconds. */
+/** Sends requests at a share of the capacity of the live targets; counts from `fromMs` on. */
 function simulate(
   share: number,
   untilMs: number,
@@ -251,35 +248,35 @@
   }
 }
 
-describe('a tenth of the targets gone, their daemons alive', () => {
-  itAlone('should offer next to nothing to the dead after a second, at 0.7 of what the others can do', (t) => {
+describe('dead targets, a tenth of all, with running daemons', () => {
+  itAlone('should receive almost no offers after a second, at 0.7 of the remaining capacity', (t) => {
     const { offers, unsuccessful, requests, served } = simulate(0.7, 3_000, 1_000);
-    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers in vain`);
+    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers unsuccessful`);
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
   });
 
-  itAlone('should do so at 1.2, and keep the others busy', (t) => {
+  itAlone('should receive almost no offers at 1.2 of the remaining capacity, with the others kept busy', (t) => {
     const { offers, unsuccessful, requests, served } = simulate(1.2, 3_000, 1_000);
-    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers in vain`);
+    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers unsuccessful`);
     t.true(served >= 0.7 * requests, `${served} of ${requests} served`);
   });
 
-  itAlone('should serve in the first second too, as an offer in vain takes no attempt', (t) => {
+  itAlone('should fail few requests in the first second, as an unsuccessful offer consumes no attempt', (t) => {
     const { requests, served } = simulate(0.7, 1_000, 10);
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
   });
 
-  itAlone('should use targets again within a second and a half of their return', (t) => {
+  itAlone('should be used again within 1.5 seconds of their recovery', (t) => {
     const { requests, served, unsuccessful, offers } = simulate(0.95, 6_000, 3_500, (fleet, now) => {
       if (now === 2_000) {
         fleet.dead.clear();
       }
     });
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
-    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers in vain`);
+    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers unsuccessful`);
   });
 
-  itAlone('should bound what a flapping target costs', (t) => {
+  itAlone('should cause few unsuccessful offers while another target flaps', (t) => {
     const { offers, unsuccessful, requests, served } = simulate(0.7, 6_000, 1_000, (fleet, now) => {
       if (now % 1_000 === 0) {
         if (fleet.dead.has(3)) {
@@ -289,7 +286,7 @@
         }
       }
     });
-    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers in vain`);
+    t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers unsuccessful`);
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
   });
 });
--- a/tests/routing/picker.spec.ts
+++ b/tests/routing/picker.spec.ts
@@ -32,20 +32,20 @@
 }
 
 describe('a target picker', () => {
-  it('should stay in its own zone while that has room, and spill over when it has not', (t) => {
+  it('should stay in its own zone while that has capacity, and spill over when it has none', (t) => {
     const candidates = [candidate('e1', 'east'), candidate('e2', 'east'), candidate('w1', 'west'), candidate('w2', 'west')];
     const picker = warmPicker(candidates);
     t.deepEqual([...pickMany(picker, candidates, 5).keys()], ['east']);
     t.true((pickMany(picker, candidates, 40).get('west') ?? 0) > 10);
   });
 
-  it('should cross regions last', (t) => {
+  it('should prefer targets in its own region', (t) => {
     const candidates = [candidate('e1', 'east'), candidate('n1', 'north', 'two')];
     t.deepEqual([...pickMany(warmPicker(candidates), candidates, 9).keys()], ['east']);
     t.is(new TargetPicker('east', 'one', seededRandom(3)).pick([candidate('n1', 'north', 'two')], new Set(), 0)?.reason, 'other_region');
   });
 
-  it('should eject a failing target, but never so many that the rest drown', (t) => {
+  it('should eject a failing target, up to the cap on ejected targets', (t) => {
     const candidates = ['e1', 'e2', 'e3'].map((name) => candidate(name, 'east'));
     const picker = warmPicker(candidates);
     for (const failing of candidates) {
@@ -57,13 +57,13 @@
     t.is(ejected, 1);
   });
 
-  it('should leave out the targets that were tried while others are left', (t) => {
+  it('should exclude the targets that were tried', (t) => {
     const candidates = ['e1', 'e2'].map((name) => candidate(name, 'east'));
     t.is(warmPicker(candidates).pick(candidates, new Set(['e1']), kLater)?.candidate.target, 'e2');
     t.is(warmPicker(candidates).pick(candidates, new Set(['e1', 'e2']), kLater), undefined);
   });
 
-  it('should trust a load report less the older it is', (t) => {
+  it('should give an older load report less weight', (t) => {
     const picker = warmPicker([candidate('e1', 'east')]);
     const stats = picker.statsOf(candidate('e1', 'east'), 0);
     stats.recordReport(100, 10, 0);
@@ -82,7 +82,7 @@
     },
   });
 
-  it('should choose the most specific class, whatever their order', (t) => {
+  it('should choose the most specific class, regardless of their order', (t) => {
     const classifier = new Classifier(cfg);
     t.is(classifier.classify('s', 'GET', '/spans/7/history')?.name, 'span');
     t.is(classifier.classify('s', 'GET', '/spans/7')?.name, 'read');
--- a/tests/routing/placement.spec.ts
+++ b/tests/routing/placement.spec.ts
@@ -32,7 +32,7 @@
 }
 
 describe('placement', () => {
-  itAlone('should stay in its zone unless waiting there costs more than leaving it', (t) => {
+  itAlone('should stay in its zone unless the latency there exceeds the cost of another zone', (t) => {
     withPlacement((placement) => {
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
       recordAnswer(placement, 'near', 'search', 60);
@@ -45,7 +45,7 @@
     });
   });
 
-  itAlone('should leave its zone for a free target when its own is full, and not before', (t) => {
+  itAlone('should leave its zone for a free target only when its own target is full', (t) => {
     withPlacement((placement) => {
       const load = (inFlight: number): void => {
         placement.recordSent('near');
@@ -58,7 +58,7 @@
     });
   });
 
-  itAlone('should not leave its zone because other routes take longer there', (t) => {
+  itAlone('should not leave its zone because of slower routes there', (t) => {
     withPlacement((placement) => {
       for (let i = 0; i < 30; i++) {
         recordAnswer(placement, 'near', 'report', 2_000);
@@ -68,14 +68,14 @@
     });
   });
 
-  itAlone('should take a host that it does not know for an ordinary one', (t) => {
+  itAlone('should assume the mean latency for an unknown host', (t) => {
     withPlacement((placement) => {
       recordAnswer(placement, 'near', 'search', 150);
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
     });
   });
 
-  itAlone('should not leave its zone for a single failure, but for a target that keeps failing, and come back later', (t) => {
+  itAlone('should leave its zone after repeated failures, not after a single one, and return later', (t) => {
     withPlacement((placement, time) => {
       const end = (failed: boolean): void => {
         placement.recordSent('near');
@@ -93,12 +93,8 @@
     });
   });
 
-  /**
-   * A target whose answers were slow once, as after its start, beside a quick one. Who compares by times alone never asks it again: its
-   * time stays what it was, as only answers renew it. Two daemons each beside a target showed it: with the first five answers of one at
-   * 300 ms, its own daemon sent it none of the calls of the next ten seconds, though its record said "ready" and it answered in 1 ms.
-   */
-  itAlone('should ask a target again that was slow once, and use it like others when it is quick by now', (t) => {
+  /** Guards against a target that is never chosen again after slow responses, as only responses update its mean latency. */
+  itAlone('should retry a target that was slow, and use it like others once it is fast', (t) => {
     const time = new VirtualTime();
     try {
       const random = seededRandom(5);
@@ -117,14 +113,14 @@
         slow += chosen === 'near' && now < 2_000 ? 1 : 0;
         used += chosen === 'near' && now >= 15_000 ? 1 : 0;
       }
-      t.is(slow, 0, 'asked while its slow answers are new');
+      t.is(slow, 0, 'calls while its slow responses are recent');
       t.true(used >= 75, `${used} of 250 calls in the last five seconds`);
     } finally {
       time.restore();
     }
   });
 
-  itAlone('should tell which targets of its zone get no calls, and what is held against them', (t) => {
+  itAlone('should report the targets of its zone that are never chosen, with their statistics', (t) => {
     withPlacement((placement) => {
       const twin = record('twin', 'z1');
       for (let i = 0; i < 10; i++) {
@@ -143,7 +139,7 @@
     });
   });
 
-  itAlone('should offer next to nothing to a target that stays slow', (t) => {
+  itAlone('should send almost no calls to a target that stays slow', (t) => {
     const time = new VirtualTime();
     try {
       const placement = new Placement('near', 'z1', seededRandom(5));
@@ -161,7 +157,7 @@
     }
   });
 
-  itAlone('should spread over equal targets by what is outstanding', (t) => {
+  itAlone('should spread calls over equal targets by their outstanding calls', (t) => {
     withPlacement((placement) => {
       const twin = record('twin', 'z1');
       placement.recordSent('near');
@@ -172,7 +168,7 @@
     });
   });
 
-  itAlone('should pass over a host that can not be reached, for a while, unless there is no other', (t) => {
+  itAlone('should deprioritize an unreachable host for a limited time, unless there is no other', (t) => {
     withPlacement((placement, time) => {
       placement.markUnreachable('near');
       t.is(placement.choose([kNear, kFar], kNone, kRoute), kFar);
@@ -182,7 +178,7 @@
     });
   });
 
-  describe('charge of the calls below', () => {
+  describe('charge for downstream calls', () => {
     const inZone = { name: 'capacity', latencyTargetMs: 300 };
     const chained = { name: 'report', latencyTargetMs: 1_500 };
     const reported = (placement: Placement, host: string, chargeMs: number): void => {
@@ -191,7 +187,7 @@
       placement.recordResult(host, 'report', { load, tookMs: 50, bytes: 1_000, failed: false });
     };
 
-    itAlone('should grow with the load of the targets that calls go to, and fade when there are none', (t) => {
+    itAlone('should grow with the load of the chosen targets, and decay without calls', (t) => {
       withPlacement((placement, time) => {
         t.is(placement.chargeMs('capacity'), 0);
         for (let i = 0; i < 40; i++) {
@@ -205,7 +201,7 @@
       });
     });
 
-    itAlone('should send work to another zone at the top of its chain', (t) => {
+    itAlone('should move calls to another zone at the top of the call chain', (t) => {
       const time = new VirtualTime();
       try {
         const placement = new Placement('near', 'z1', () => 0.5);
@@ -223,7 +219,7 @@
       }
     });
 
-    itAlone('should keep calls with large bodies in their zone longer', (t) => {
+    itAlone('should keep calls with large bodies in their zone at higher charges', (t) => {
       const time = new VirtualTime();
       try {
         const placement = new Placement('near', 'z1', () => 0.5);
--- a/tests/routing/routeRequest.spec.ts
+++ b/tests/routing/routeRequest.spec.ts
@@ -39,7 +39,7 @@
 }
 
 describe('routing procedure', () => {
-  it('should never send twice what may have run and must not repeat', (t) => {
+  it('should not repeat a non-idempotent request that may have run', (t) => {
     for (const first of [kAnswered, kFailed, kLost]) {
       const { offers, end } = runRoute(false, 3, [first, kAnswered]);
       t.is(offers.length, 1);
@@ -47,13 +47,13 @@
     }
   });
 
-  it('should go on after a proof that nothing ran', (t) => {
+  it('should try another target when the request provably did not run', (t) => {
     for (const first of [kRefused, kShed]) {
       t.is(runRoute(false, 3, [first, kAnswered]).end, kAnswered);
     }
   });
 
-  it('should repeat what may be repeated, on another target', (t) => {
+  it('should repeat an idempotent request on another target', (t) => {
     for (const first of [kFailed, kLost]) {
       const { offers, end } = runRoute(true, 2, [first, kAnswered]);
       t.is(end, kAnswered);
@@ -67,7 +67,7 @@
     }
   });
 
-  it('should say "not run" only when no offer can have run, and keep to the attempts', (t) => {
+  it('should report "not run" only when no offer may have run, and respect the maximum number of attempts', (t) => {
     const anyEnd = fc.constantFrom(kAnswered, kFailed, kLost, kRefused, kShed);
     fc.assert(
       fc.property(
@@ -85,7 +85,7 @@
     t.pass();
   });
 
-  it('should give the answer of a failing target when nobody else takes the repeat', (t) => {
+  it('should return the response of a failing target when no other target accepts the repeat', (t) => {
     t.is(runRoute(true, 2, [kFailed, kRefused, kRefused, kRefused, kRefused]).end, kFailed);
   });
 });
--- a/tests/routing/routeTable.spec.ts
+++ b/tests/routing/routeTable.spec.ts
@@ -15,24 +15,24 @@
 describe('route table', () => {
   const table = new RouteTable({ routes: [route('/a/'), route('/a/b/'), route('/'), route('/c/', undefined, 'other.example')] });
 
-  it('should choose the longest prefix that begins the path', (t) => {
+  it('should choose the longest prefix of the path', (t) => {
     t.is(table.find('app.example', '/a/b/c')?.prefix, '/a/b/');
     t.is(table.find('app.example', '/a/bc')?.prefix, '/a/');
     t.is(table.find('app.example', '/x')?.prefix, '/');
   });
 
-  it('should match whole segments only, and never in the query', (t) => {
+  it('should match whole segments only, and ignore the query string', (t) => {
     t.is(table.find('app.example', '/a')?.prefix, '/');
     t.is(table.find('app.example', '/x?y=/a/b/')?.prefix, '/');
   });
 
-  it('should know a host by its name, whatever its case and port', (t) => {
+  it('should match a host name regardless of its case and port', (t) => {
     t.is(table.find('APP.example:8080', '/a/1')?.prefix, '/a/');
     t.is(table.find('other.example', '/a/1'), undefined);
     t.is(table.find('none.example', '/a/1'), undefined);
   });
 
-  it('should hold the weights of a split in any run of requests', (t) => {
+  it('should follow the weights of a split in any sequence of requests', (t) => {
     fc.assert(
       fc.property(
         fc.array(fc.integer({ min: 0, max: 100 }), { minLength: 1, maxLength: 5 }),
@@ -57,7 +57,7 @@
     t.pass();
   });
 
-  it('should send nothing to a destination without weight', (t) => {
+  it('should send no requests to a destination with weight 0', (t) => {
     const split = route('/s/', [
       { service: 'none', weight: 0 },
       { service: 'all', weight: 5 },
--- a/tests/routing/targetSubset.spec.ts
+++ b/tests/routing/targetSubset.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Load pattern: many ingresses, each with a few calls a second, choose among the targets of large and small services at once. */
+/** Guards against uneven load when many ingresses choose among the targets of a service independently. */
 
 import { Placement, RendezvousRank, seededRandom, subsetFor, type TargetRecord } from '@gentiandrum/core';
 import { describe, it, itAlone } from '../support/describe.js';
@@ -35,27 +35,27 @@
   return subsetFor(host, zoneOf(ingress), candidates, new RendezvousRank(host)).primary;
 }
 
-describe('the subset of targets that an ingress uses', () => {
-  it('should hold all targets of a small service', (t) => {
+describe('the primary targets of an ingress', () => {
+  it('should include all targets of a small service', (t) => {
     t.is(primaryOf(150, targets(3)).length, 3);
     t.is(primaryOf(150, targets(12)).length, 12);
   });
 
-  it('should hold the own host and stay in the own zone while that has enough targets', (t) => {
+  it('should include the local host and stay in the local zone while that has enough targets', (t) => {
     const primary = primaryOf(3, targets(100));
     t.is(primary[0]?.host, 'host-3');
     t.true(primary.every(({ zone }) => zone === zoneOf(3)));
     t.true(primary.length <= 9);
   });
 
-  it('should be filled up from other zones where the own one has few targets', (t) => {
+  it('should include targets of other zones when the local zone has few', (t) => {
     const candidates = targets(100).filter(({ zone }, i) => zone !== 'zone-0' || i === 0);
     const primary = primaryOf(105, candidates);
     t.is(primary.length, 8);
     t.is(primary.filter(({ zone }) => zone === 'zone-0').length, 1);
   });
 
-  it('should use each target from many ingresses, also one that has just joined', (t) => {
+  it('should include each target at many ingresses', (t) => {
     const candidates = targets(100);
     const uses = new Map<string, number>();
     for (let ingress = 0; ingress < kIngresses; ingress++) {
@@ -65,7 +65,7 @@
     t.true(Math.min(...uses.values()) >= 8);
   });
 
-  it('should change by one target only when one leaves', (t) => {
+  it('should change by a single target when one leaves', (t) => {
     const candidates = targets(100);
     const before = primaryOf(3, candidates);
     const gone = before[4];
@@ -78,7 +78,7 @@
 });
 
 describe('placement by many ingresses at once', () => {
-  /** Calls of half a second from all ingresses, some 5 a second each; returns the most calls in flight at a target over the mean. */
+  /** Sends calls of half a second, 5 a second from each ingress; returns the most calls to one target, divided by the mean. */
   function busiestOverMean(slow: ReadonlySet<string>): { busiest: number; slowShare: number } {
     const time = new VirtualTime();
     try {
@@ -123,7 +123,7 @@
     t.true(busiest <= 2.5, String(busiest));
   });
 
-  itAlone('should leave slow targets to a small part of their share', (t) => {
+  itAlone('should send slow targets less than their share', (t) => {
     const { slowShare } = busiestOverMean(new Set(['host-10', 'host-11', 'host-12', 'host-13', 'host-14']));
     t.true(slowShare <= 0.7, String(slowShare));
   });
