--- a/packages/core/src/membership/memberView.ts
+++ b/packages/core/src/membership/memberView.ts
@@ -51,40 +51,40 @@
   return left && member.leaveProof !== undefined && !member.leaveProof.unsettled.includes(attempt);
 }
 
-interface Known {
+interface MemberEntry {
   member: Member;
   /** Monotonic time of the latest change of state, in milliseconds. */
-  since: number;
+  changedAt: number;
   /** How often the latest change was passed on. */
-  sent: number;
+  sendCount: number;
 }
 
 /** Time from suspicion to death. */
-export const kSuspicionMs = 2_000;
+export const kSuspicionTimeoutMs = 2_000;
 /** Time after which a dead or departed daemon is forgotten. */
-const kForgetMs = 3_600_000;
+const kRetentionMs = 3_600_000;
 const kMaxChanges = 24;
-const kRetransmit = 3;
+const kRetransmitFactor = 3;
 /** Count of sendings of a record that need not be passed on any more. */
-const kSpreadAlready = 1_000;
+const kFullySpread = 1_000;
 /** Share of the probes that go to the dead. */
-const kProbeDead = 0.1;
+const kDeadProbeShare = 0.1;
 /** Daemons that keep the last record of another one: two may be unreachable, or short of time, at the same moment. */
-const kKeepers = 3;
+const kRecordHolders = 3;
 const kStateRank: Record<MemberState, number> = { alive: 0, suspect: 1, dead: 2, left: 3 };
 
 /** Membership view of one daemon. */
 export class MemberView {
-  private readonly _known = new Map<string, Known>();
+  private readonly _entries = new Map<string, MemberEntry>();
   private _probeOrder: string[] = [];
-  private _changed = 0;
+  private _changeCount = 0;
 
   constructor(
     private _self: Member,
     private readonly _random: Random,
     now: number,
   ) {
-    this._known.set(_self.id, { member: _self, since: now, sent: 0 });
+    this._entries.set(_self.id, { member: _self, changedAt: now, sendCount: 0 });
   }
 
   /** Own record. */
@@ -93,18 +93,18 @@
   }
 
   /** Number that grows with every change of the view. */
-  get changed(): number {
-    return this._changed;
+  get changeCount(): number {
+    return this._changeCount;
   }
 
   /** All records. */
   all(): Member[] {
-    return [...this._known.values()].map(({ member }) => member);
+    return [...this._entries.values()].map(({ member }) => member);
   }
 
   /** Record of one daemon. */
   get(id: string): Member | undefined {
-    return this._known.get(id)?.member;
+    return this._entries.get(id)?.member;
   }
 
   /** Changes the own record; nothing happens when all values are as they were. */
@@ -120,20 +120,20 @@
    * Takes a record from another daemon; true when it was news. What came with a whole view is not passed on: others
    * fetch whole views too.
    */
-  merge(member: Member, now: number, passOn = true): boolean {
+  merge(member: Member, now: number, retransmit = true): boolean {
     if (member.id === this._self.id) {
       this._refute(member, now);
       return false;
     }
-    const known = this._known.get(member.id);
+    const known = this._entries.get(member.id);
     if (known && !supersedes(member, known.member)) {
       return false;
     }
     if (!known && (member.state === 'dead' || member.state === 'left')) {
       return false;
     }
-    this._known.set(member.id, { member, since: now, sent: passOn ? 0 : kSpreadAlready });
-    this._changed++;
+    this._entries.set(member.id, { member, changedAt: now, sendCount: retransmit ? 0 : kFullySpread });
+    this._changeCount++;
     return true;
   }
 
@@ -141,69 +141,69 @@
    * Notes the configuration version that a daemon holds, as heard from itself. It makes no news to pass on: each new
    * version would otherwise change every record.
    */
-  noteVersion(id: string, configVersion: number): void {
-    const known = this._known.get(id);
+  setConfigVersion(id: string, configVersion: number): void {
+    const known = this._entries.get(id);
     if (!known) {
       return;
     }
     const member = { ...known.member, configVersion };
-    this._known.set(id, { ...known, member });
+    this._entries.set(id, { ...known, member });
     if (id === this._self.id) {
       this._self = member;
     }
   }
 
   /** Notes that a daemon answered: suspicion of it, raised here, is dropped. */
-  answered(id: string, now: number): void {
-    const known = this._known.get(id);
+  markAlive(id: string, now: number): void {
+    const known = this._entries.get(id);
     if (!known || known.member.state === 'alive' || known.member.state === 'left') {
       return;
     }
-    this._known.set(id, { member: { ...known.member, state: 'alive' }, since: now, sent: kSpreadAlready });
-    this._changed++;
+    this._entries.set(id, { member: { ...known.member, state: 'alive' }, changedAt: now, sendCount: kFullySpread });
+    this._changeCount++;
   }
 
   /** Raises suspicion of a daemon that didn't answer. */
   suspect(id: string, now: number): void {
-    const known = this._known.get(id);
+    const known = this._entries.get(id);
     if (known?.member.state !== 'alive' || id === this._self.id) {
       return;
     }
-    this._known.set(id, { member: { ...known.member, state: 'suspect' }, since: now, sent: 0 });
-    this._changed++;
+    this._entries.set(id, { member: { ...known.member, state: 'suspect' }, changedAt: now, sendCount: 0 });
+    this._changeCount++;
   }
 
   /** Turns suspicion that stands into death, and forgets what died long ago. */
   tick(now: number): void {
-    for (const [id, known] of this._known) {
-      const age = now - known.since;
-      if (known.member.state === 'suspect' && age >= kSuspicionMs) {
-        this._known.set(id, { member: { ...known.member, state: 'dead' }, since: now, sent: 0 });
-        this._changed++;
-      } else if (kStateRank[known.member.state] >= kStateRank.dead && age >= kForgetMs) {
-        this._known.delete(id);
-        this._changed++;
+    for (const [id, known] of this._entries) {
+      const age = now - known.changedAt;
+      if (known.member.state === 'suspect' && age >= kSuspicionTimeoutMs) {
+        this._entries.set(id, { member: { ...known.member, state: 'dead' }, changedAt: now, sendCount: 0 });
+        this._changeCount++;
+      } else if (kStateRank[known.member.state] >= kStateRank.dead && age >= kRetentionMs) {
+        this._entries.delete(id);
+        this._changeCount++;
       }
     }
   }
 
   /** After the process was paused: what the view knows may be stale, so nobody's suspicion may ripen from it. */
-  resumed(now: number): void {
-    for (const known of this._known.values()) {
+  restartSuspicionTimers(now: number): void {
+    for (const known of this._entries.values()) {
       if (known.member.state === 'suspect') {
-        known.since = now;
+        known.changedAt = now;
       }
     }
   }
 
   /** Changes to pass on with a ping, the latest first: an old one has spread, or comes with a whole view. */
   takeChanges(): Member[] {
-    const enough = kRetransmit * Math.ceil(Math.log2(this._known.size + 1));
-    const due = [...this._known.values()].filter((known) => known.sent < enough);
-    due.sort((a, b) => b.since - a.since || a.sent - b.sent);
-    const taken = due.slice(0, kMaxChanges);
+    const maxSends = kRetransmitFactor * Math.ceil(Math.log2(this._entries.size + 1));
+    const pending = [...this._entries.values()].filter((known) => known.sendCount < maxSends);
+    pending.sort((a, b) => b.changedAt - a.changedAt || a.sendCount - b.sendCount);
+    const taken = pending.slice(0, kMaxChanges);
     for (const known of taken) {
-      known.sent++;
+      known.sendCount++;
     }
     return taken.map(({ member }) => member);
   }
@@ -211,7 +211,7 @@
   /** Next daemon to ping: each in turn, in an order drawn anew each round; now and then a dead one. */
   nextProbe(): Member | undefined {
     const dead = this._others((state) => state === 'dead');
-    if (dead.length > 0 && this._random() < kProbeDead) {
+    if (dead.length > 0 && this._random() < kDeadProbeShare) {
       return dead[Math.floor(this._random() * dead.length)];
     }
     for (let i = 0; i < 2; i++) {
@@ -227,7 +227,7 @@
   }
 
   /** Up to `count` daemons at random that are believed alive, those of the own zone if `zone` is given. */
-  someAlive(count: number, zone?: string): Member[] {
+  sampleAlive(count: number, zone?: string): Member[] {
     const alive = this._others((state) => state === 'alive').filter((member) => zone === undefined || member.zone === zone);
     const drawn: Member[] = [];
     while (drawn.length < count && alive.length > 0) {
@@ -240,14 +240,14 @@
    * Daemons that know the last record of one that leaves before anybody else: that one tells them, and whoever needs the record asks them.
    * All rank alike, so no message is needed to agree.
    */
-  keepersOf(id: string): Member[] {
+  recordHoldersOf(id: string): Member[] {
     const ranked = new RendezvousRank(id).order(
       this._others((state) => state === 'alive' || state === 'suspect').map((member) => ({ host: member.id, member })),
     );
     return ranked
       .map(({ member }) => member)
       .filter((member) => member.id !== id)
-      .slice(0, kKeepers);
+      .slice(0, kRecordHolders);
   }
 
   private _others(wanted: (state: MemberState) => boolean): Member[] {
@@ -263,27 +263,27 @@
     return ids;
   }
 
-  private _refute(rumour: Member, now: number): void {
-    const aboutThisRun = rumour.incarnation === this._self.incarnation;
-    if (aboutThisRun && rumour.state !== this._self.state && rumour.revision >= this._self.revision) {
-      this._setSelf({ ...this._self, revision: rumour.revision + 1 }, now);
+  private _refute(claimed: Member, now: number): void {
+    const sameIncarnation = claimed.incarnation === this._self.incarnation;
+    if (sameIncarnation && claimed.state !== this._self.state && claimed.revision >= this._self.revision) {
+      this._setSelf({ ...this._self, revision: claimed.revision + 1 }, now);
     }
   }
 
   private _setSelf(self: Member, now: number): void {
     this._self = self;
-    this._known.set(self.id, { member: self, since: now, sent: 0 });
-    this._changed++;
+    this._entries.set(self.id, { member: self, changedAt: now, sendCount: 0 });
+    this._changeCount++;
   }
 }
 
 /** Whether a record is newer than the one held. */
-function supersedes(member: Member, held: Member): boolean {
-  if (member.incarnation !== held.incarnation) {
-    return member.incarnation > held.incarnation;
+function supersedes(member: Member, current: Member): boolean {
+  if (member.incarnation !== current.incarnation) {
+    return member.incarnation > current.incarnation;
   }
-  if (member.revision !== held.revision) {
-    return member.revision > held.revision;
+  if (member.revision !== current.revision) {
+    return member.revision > current.revision;
   }
-  return kStateRank[member.state] > kStateRank[held.state];
+  return kStateRank[member.state] > kStateRank[current.state];
 }
--- a/packages/core/src/membership/readerRank.ts
+++ b/packages/core/src/membership/readerRank.ts
@@ -12,28 +12,28 @@
 import { RendezvousRank } from '../util/rendezvous.js';
 
 /** Readers of a zone: a second one, so that nothing is late when the first dies without a word. */
-const kReaders = 2;
+const kReadersPerZone = 2;
 /**
  * Hosts that say that the log does not answer them, from which on nobody else of the zone takes their place: it is the log that is
  * away, and each further reader would only add refused calls.
  */
-const kMaxFailing = 3;
+const kMaxFailingReaders = 3;
 
 /** What a daemon last said of its reading. */
-interface Report {
-  well: boolean;
+interface ReaderReport {
+  healthy: boolean;
   at: number;
 }
 
 /** What this host does for its zone; `first` also follows and writes the hosts' records. `ahead` rank before it or read for it. */
-export type ReaderPlace = { kind: 'reader'; first: boolean; ahead: string[] } | { kind: 'member'; readers: string[]; ahead: string[] };
+export type ReaderRole = { kind: 'reader'; first: boolean; ahead: string[] } | { kind: 'member'; readers: string[]; ahead: string[] };
 
 /** Ranks the hosts of one zone as readers. */
 export class ReaderRank {
   private readonly _rank: RendezvousRank;
-  private readonly _reports = new Map<string, Report>();
+  private readonly _reports = new Map<string, ReaderReport>();
   /** Since when a host counts among the readers here, so that it gets the time to say so. */
-  private _expected = new Map<string, number>();
+  private _expectedSince = new Map<string, number>();
 
   /** @param _windowMs time without a report after which a reader is passed over, in milliseconds */
   constructor(
@@ -45,16 +45,16 @@
   }
 
   /** Notes what a daemon reports of its reading. */
-  reported(host: string, well: boolean, now: number): void {
-    this._reports.set(host, { well, at: now });
+  recordReport(host: string, healthy: boolean, now: number): void {
+    this._reports.set(host, { healthy, at: now });
   }
 
   /** Whether a daemon of the zone reported lately that the log answers it. */
-  served(now: number): boolean {
-    for (const [host, { well, at }] of this._reports) {
+  hasHealthyReader(now: number): boolean {
+    for (const [host, { healthy, at }] of this._reports) {
       if (now - at > this._windowMs) {
         this._reports.delete(host);
-      } else if (well) {
+      } else if (healthy) {
         return true;
       }
     }
@@ -62,26 +62,26 @@
   }
 
   /** The place of this host among the hosts of its zone; `isDown` tells of those that can't be reached from here. */
-  place(hosts: readonly { host: string }[], isDown: (host: string) => boolean, now: number): ReaderPlace {
+  determineRole(hosts: readonly { host: string }[], isUnreachable: (host: string) => boolean, now: number): ReaderRole {
     const readers: string[] = [];
-    const expected = new Map<string, number>();
+    const expectedSince = new Map<string, number>();
     const ahead: string[] = [];
     let failing = 0;
     for (const { host } of this._rank.order(hosts)) {
-      if (readers.length === kReaders || failing >= kMaxFailing) {
+      if (readers.length === kReadersPerZone || failing >= kMaxFailingReaders) {
         break;
       }
       if (host === this._self) {
-        this._expected = expected;
+        this._expectedSince = expectedSince;
         return { kind: 'reader', first: readers.length === 0, ahead };
       }
       ahead.push(host);
-      if (isDown(host)) {
+      if (isUnreachable(host)) {
         continue;
       }
-      const since = this._expected.get(host) ?? now;
-      expected.set(host, since);
-      switch (this._judge(host, since, now)) {
+      const since = this._expectedSince.get(host) ?? now;
+      expectedSince.set(host, since);
+      switch (this._readerStatus(host, since, now)) {
         case 'reads':
           readers.push(host);
           break;
@@ -92,15 +92,15 @@
           break;
       }
     }
-    this._expected = expected;
+    this._expectedSince = expectedSince;
     return { kind: 'member', readers, ahead };
   }
 
-  private _judge(host: string, since: number, now: number): 'reads' | 'failing' | 'silent' {
+  private _readerStatus(host: string, since: number, now: number): 'reads' | 'failing' | 'silent' {
     const report = this._reports.get(host);
     if (!report || now - report.at > this._windowMs) {
       return now - Math.max(since, report?.at ?? since) > this._windowMs ? 'silent' : 'reads';
     }
-    return report.well ? 'reads' : 'failing';
+    return report.healthy ? 'reads' : 'failing';
   }
 }
--- a/packages/core/src/membership/targetDirectory.ts
+++ b/packages/core/src/membership/targetDirectory.ts
@@ -6,9 +6,9 @@
 /** What a daemon believes of all hosts: the latest record of each, whichever way it came. */
 
 import { hashText } from '../util/hashText.js';
-import { isLaterRecord, type TargetRecord } from './targetRecord.js';
+import { isNewerRecord, type TargetRecord } from './targetRecord.js';
 
-const kNone: readonly TargetRecord[] = [];
+const kNoRecords: readonly TargetRecord[] = [];
 
 /** The latest record of each host. */
 export class TargetDirectory {
@@ -18,16 +18,16 @@
   private _membersRevision = 0;
   private readonly _digests = new Map<string, number>();
   /** What each host adds to the digest of its zone. */
-  private readonly _counted = new Map<string, { zone: string; hash: number }>();
+  private readonly _digested = new Map<string, { zone: string; hash: number }>();
 
   /** Takes a record; true when it is news. */
-  learn(record: TargetRecord): boolean {
+  merge(record: TargetRecord): boolean {
     const known = this._records.get(record.host);
-    if (known && !isLaterRecord(record, known)) {
+    if (known && !isNewerRecord(record, known)) {
       return false;
     }
-    this._count(record);
-    this._put(record, known);
+    this._addToDigest(record);
+    this._store(record, known);
     return true;
   }
 
@@ -35,18 +35,18 @@
   presumeGone(host: string): void {
     const known = this._records.get(host);
     if (known) {
-      this._put({ ...known, state: 'gone' }, known);
+      this._store({ ...known, state: 'gone' }, known);
     }
   }
 
   /** Forgets a host that left for good. */
-  forget(host: string): void {
+  remove(host: string): void {
     const known = this._records.get(host);
     if (known) {
       this._membersRevision++;
       this._records.delete(host);
-      this._discount(host);
-      this._unlist(known);
+      this._removeFromDigest(host);
+      this._removeReady(known);
     }
   }
 
@@ -77,7 +77,7 @@
 
   /** Records of the targets of a service that take new work. */
   ready(service: string): readonly TargetRecord[] {
-    return this._ready.get(service) ?? kNone;
+    return this._ready.get(service) ?? kNoRecords;
   }
 
   /**
@@ -90,60 +90,60 @@
   }
 
   /** Targets of a service that take no connections now, and may again. */
-  unreachable(service: string): number {
+  unreachableCount(service: string): number {
     return this.all().filter((record) => record.service === service && record.state === 'unreachable').length;
   }
 
   /** Whether any host's record names the service. */
-  knows(service: string): boolean {
+  hasService(service: string): boolean {
     return this.all().some((record) => record.service === service);
   }
 
-  private _put(record: TargetRecord, known: TargetRecord | undefined): void {
+  private _store(record: TargetRecord, known: TargetRecord | undefined): void {
     this._records.set(record.host, record);
     if (known === undefined || (known.state === 'gone') !== (record.state === 'gone')) {
       this._membersRevision++;
     }
     if (known?.state === 'ready' && record.state === 'ready' && known.service === record.service) {
-      this._replace(known, record);
+      this._replaceReady(known, record);
       return;
     }
     if (known) {
-      this._unlist(known);
+      this._removeReady(known);
     }
     if (record.state === 'ready') {
       this._ready.set(record.service, [...this.ready(record.service), record]);
     }
   }
 
-  private _count({ host, zone, state, epoch, revision }: TargetRecord): void {
-    this._discount(host);
+  private _addToDigest({ host, zone, state, epoch, revision }: TargetRecord): void {
+    this._removeFromDigest(host);
     if (state !== 'gone') {
       const hash = hashText(`${host}\0${epoch}\0${revision}`);
-      this._counted.set(host, { zone, hash });
-      this._toggle(zone, hash);
+      this._digested.set(host, { zone, hash });
+      this._toggleInDigest(zone, hash);
     }
   }
 
-  private _discount(host: string): void {
-    const counted = this._counted.get(host);
-    if (counted) {
-      this._counted.delete(host);
-      this._toggle(counted.zone, counted.hash);
+  private _removeFromDigest(host: string): void {
+    const digested = this._digested.get(host);
+    if (digested) {
+      this._digested.delete(host);
+      this._toggleInDigest(digested.zone, digested.hash);
     }
   }
 
   /** Exclusive or: what is toggled twice is out again. */
-  private _toggle(zone: string, hash: number): void {
+  private _toggleInDigest(zone: string, hash: number): void {
     this._digests.set(zone, ((this._digests.get(zone) ?? 0) ^ hash) >>> 0);
   }
 
-  private _replace(known: TargetRecord, record: TargetRecord): void {
+  private _replaceReady(known: TargetRecord, record: TargetRecord): void {
     const list = this.ready(record.service).map((listed) => (listed.host === known.host ? record : listed));
     this._ready.set(record.service, list);
   }
 
-  private _unlist({ host, service, state }: TargetRecord): void {
+  private _removeReady({ host, service, state }: TargetRecord): void {
     if (state === 'ready') {
       const list = this.ready(service).filter((listed) => listed.host !== host);
       this._ready.set(service, list);
--- a/packages/core/src/membership/targetLife.ts
+++ b/packages/core/src/membership/targetLifecycle.ts
@@ -8,10 +8,10 @@
  * out of order; what was once said of an instance's end stays true.
  */
 
-import type { TargetLifeState, TargetRecord } from './targetRecord.js';
+import type { TargetLifecycleState, TargetRecord } from './targetRecord.js';
 
 /** Instances whose end is remembered; late heartbeats are seconds late, and a host does not see as many targets in that time. */
-const kMaxEnded = 20;
+const kMaxEndedIncarnations = 20;
 
 /** One word of a target to the daemon on its host. */
 export interface Announcement {
@@ -36,11 +36,11 @@
   slots: number;
   /** How much longer it stays slow after its start, in milliseconds. */
   coldMs: number;
-  state: TargetLifeState;
+  state: TargetLifecycleState;
 }
 
 /** Follows one target after another on the same host. */
-export class TargetLife {
+export class TargetLifecycle {
   private _known: KnownTarget;
   private _sequence = -1;
   /** Incarnations that have left or were replaced, the oldest first. */
@@ -57,15 +57,15 @@
   }
 
   /** Takes an announcement of the target; true when it changed anything that others should know. */
-  announce(word: Announcement): boolean {
-    if (!this._isNews(word)) {
+  announce(announcement: Announcement): boolean {
+    if (!this._shouldApply(announcement)) {
       return false;
     }
     const before = this._known;
-    const known = this._isCurrent(word) ? before : this._replace(word);
-    this._known = { ...known, ...word.details, born: Math.max(known.born, word.born ?? 0) };
-    this._sequence = Math.max(this._sequence, word.sequence);
-    this._advance(word.state);
+    const known = this._isCurrent(announcement) ? before : this._startIncarnation(announcement);
+    this._known = { ...known, ...announcement.details, born: Math.max(known.born, announcement.born ?? 0) };
+    this._sequence = Math.max(this._sequence, announcement.sequence);
+    this._advance(announcement.state);
     const { instance, born, state, slots } = this._known;
     return instance !== before.instance || born !== before.born || state !== before.state || slots !== before.slots;
   }
@@ -77,25 +77,26 @@
    * now shows with the first call. "Ready" is not believed: the daemon that said so was killed, and may have acknowledged since that
    * the target leaves, with nobody left who knows.
    */
-  remember({
+  applyRecord({
     instance,
     born = 0,
     service,
     state,
     slots,
   }: Pick<TargetRecord, 'instance' | 'born' | 'service' | 'state' | 'slots'>): boolean {
-    const other = this._ended.has(nameOf(instance, born)) || (this._known.instance !== '' && !this._isCurrent({ instance, born }));
-    if (instance === '' || other || state === 'ready') {
+    const isOtherIncarnation =
+      this._ended.has(incarnationKey(instance, born)) || (this._known.instance !== '' && !this._isCurrent({ instance, born }));
+    if (instance === '' || isOtherIncarnation || state === 'ready') {
       return false;
     }
-    const remembered = state === 'unknown' || state === 'unreachable' ? 'ready' : state;
-    if (rankOf(remembered) <= rankOf(this._known.state)) {
+    const nextState = state === 'unknown' || state === 'unreachable' ? 'ready' : state;
+    if (stateOrder(nextState) <= stateOrder(this._known.state)) {
       return false;
     }
     if (this._known.instance === '') {
       this._known = { ...this._known, instance, born, service, slots };
     }
-    this._advance(remembered);
+    this._advance(nextState);
     return true;
   }
 
@@ -103,17 +104,17 @@
    * What is over for an incarnation stays over: its heartbeats may come late, also after another one took its place, and also to a daemon
    * that started meanwhile and never heard of it. One that was born earlier than the known one is over.
    */
-  private _isNews(word: Announcement): boolean {
-    const { instance, born = 0, state, sequence } = word;
-    const current = this._isCurrent(word);
-    if (this._ended.has(nameOf(instance, born)) || (current && this._known.state === 'gone') || this._isOlder(born)) {
+  private _shouldApply(announcement: Announcement): boolean {
+    const { instance, born = 0, state, sequence } = announcement;
+    const current = this._isCurrent(announcement);
+    if (this._ended.has(incarnationKey(instance, born)) || (current && this._known.state === 'gone') || this._isEarlier(born)) {
       return false;
     }
     if (state !== 'gone') {
       return !current || sequence > this._sequence;
     }
     if (!current && this._known.instance !== '') {
-      this._end(instance, born);
+      this._markEnded(instance, born);
       return false;
     }
     return true;
@@ -124,39 +125,39 @@
     return instance === this._known.instance && (born === 0 || this._known.born === 0 || born === this._known.born);
   }
 
-  private _isOlder(born: number): boolean {
+  private _isEarlier(born: number): boolean {
     return born > 0 && born < this._known.born;
   }
 
-  private _replace({ instance, born = 0 }: Announcement): KnownTarget {
+  private _startIncarnation({ instance, born = 0 }: Announcement): KnownTarget {
     if (this._known.instance !== '') {
-      this._end(this._known.instance, this._known.born);
+      this._markEnded(this._known.instance, this._known.born);
     }
     this._sequence = -1;
     return { ...this._known, instance, born, state: 'unknown' };
   }
 
-  private _end(instance: string, born: number): void {
-    this._ended.add(nameOf(instance, born));
-    if (this._ended.size > kMaxEnded) {
+  private _markEnded(instance: string, born: number): void {
+    this._ended.add(incarnationKey(instance, born));
+    if (this._ended.size > kMaxEndedIncarnations) {
       const [oldest = ''] = this._ended;
       this._ended.delete(oldest);
     }
   }
 
   /** A target's states only go forward. */
-  private _advance(state: TargetLifeState): void {
-    if (rankOf(state) > rankOf(this._known.state)) {
+  private _advance(state: TargetLifecycleState): void {
+    if (stateOrder(state) > stateOrder(this._known.state)) {
       this._known = { ...this._known, state };
     }
   }
 }
 
-function nameOf(instance: string, born: number): string {
+function incarnationKey(instance: string, born: number): string {
   return `${instance} ${born}`;
 }
 
-function rankOf(state: TargetLifeState): number {
+function stateOrder(state: TargetLifecycleState): number {
   switch (state) {
     case 'unknown':
       return 0;
--- a/packages/core/src/membership/targetReach.ts
+++ b/packages/core/src/membership/targetReachability.ts
@@ -12,28 +12,28 @@
  */
 
 /** Doubt from which on the target counts as unreachable, and what a connection that did not come about in time adds to it. */
-const kUnreachableDoubt = 1;
-const kTimeoutDoubt = 0.5;
+const kUnreachableScore = 1;
+const kTimeoutScore = 0.5;
 /** First and longest pause between two probes of an unreachable target, in milliseconds: one that is back is used within a second. */
-const kProbeMs = 100;
+const kInitialProbeMs = 100;
 const kMaxProbeMs = 1_000;
 /** Pause between two probes of a target whose heartbeats stay away, in milliseconds. */
-const kSilentProbeMs = 1_000;
+const kMissedHeartbeatProbeMs = 1_000;
 /** Intervals without a heartbeat after which one is missed: heartbeats may be late by about one. */
 const kMissedIntervals = 3;
 /** Weight of the newest interval in the mean, and the shortest mean that counts, in milliseconds. */
 const kIntervalWeight = 0.3;
-const kLeastIntervalMs = 500;
+const kMinIntervalMs = 500;
 
 /** What was seen of the target: a connection that came about, was refused, or did not come about in time; or its heartbeat. */
-export type ReachEvidence = 'connected' | 'refused' | 'timed_out' | 'heartbeat';
+export type ReachabilityEvidence = 'connected' | 'refused' | 'timed_out' | 'heartbeat';
 
 /** Follows one incarnation of a target. Times are on the monotonic clock, in milliseconds. */
-export class TargetReach {
+export class TargetReachability {
   private _reachable = true;
-  private _doubt = 0;
-  private _probeAt = -Infinity;
-  private _probeMs = kProbeMs;
+  private _failureScore = 0;
+  private _nextProbeAt = -Infinity;
+  private _probeIntervalMs = kInitialProbeMs;
   private _heartbeatAt: number | undefined;
   private _intervalMs: number | undefined;
 
@@ -43,22 +43,22 @@
   }
 
   /** Takes what was seen; true when it changed {@link reachable}. */
-  note(evidence: ReachEvidence, now: number): boolean {
+  record(evidence: ReachabilityEvidence, now: number): boolean {
     const before = this._reachable;
     switch (evidence) {
       case 'connected':
-        this._doubt = 0;
-        this._probeMs = kProbeMs;
+        this._failureScore = 0;
+        this._probeIntervalMs = kInitialProbeMs;
         this._reachable = true;
         break;
       case 'refused':
-        this._doubtBy(kUnreachableDoubt, now);
+        this._addFailure(kUnreachableScore, now);
         break;
       case 'timed_out':
-        this._doubtBy(this._silent(now) ? kUnreachableDoubt : kTimeoutDoubt, now);
+        this._addFailure(this._missesHeartbeats(now) ? kUnreachableScore : kTimeoutScore, now);
         break;
       case 'heartbeat':
-        this._noteHeartbeat(now);
+        this._recordHeartbeat(now);
         break;
     }
     return this._reachable !== before;
@@ -66,39 +66,39 @@
 
   /** Whether a connection should be tried now to find out; counts as tried when it says so. */
   takeProbe(now: number): boolean {
-    if (now < this._probeAt || (this._reachable && !this._silent(now))) {
+    if (now < this._nextProbeAt || (this._reachable && !this._missesHeartbeats(now))) {
       return false;
     }
-    this._probeAt = now + (this._reachable ? kSilentProbeMs : this._probeMs);
-    this._probeMs = Math.min(kMaxProbeMs, this._probeMs * 2);
+    this._nextProbeAt = now + (this._reachable ? kMissedHeartbeatProbeMs : this._probeIntervalMs);
+    this._probeIntervalMs = Math.min(kMaxProbeMs, this._probeIntervalMs * 2);
     return true;
   }
 
-  private _doubtBy(doubt: number, now: number): void {
-    this._doubt += doubt;
-    if (this._reachable && this._doubt >= kUnreachableDoubt) {
+  private _addFailure(score: number, now: number): void {
+    this._failureScore += score;
+    if (this._reachable && this._failureScore >= kUnreachableScore) {
       this._reachable = false;
-      this._probeMs = kProbeMs;
-      this._probeAt = now + kProbeMs;
+      this._probeIntervalMs = kInitialProbeMs;
+      this._nextProbeAt = now + kInitialProbeMs;
     }
   }
 
   /** A heartbeat does not make the target reachable, it only makes a probe worth its while. */
-  private _noteHeartbeat(now: number): void {
+  private _recordHeartbeat(now: number): void {
     if (this._heartbeatAt !== undefined) {
       const interval = now - this._heartbeatAt;
       this._intervalMs = this._intervalMs === undefined ? interval : this._intervalMs + (interval - this._intervalMs) * kIntervalWeight;
     }
     this._heartbeatAt = now;
     if (!this._reachable) {
-      this._probeAt = now;
+      this._nextProbeAt = now;
     }
   }
 
-  private _silent(now: number): boolean {
+  private _missesHeartbeats(now: number): boolean {
     if (this._heartbeatAt === undefined || this._intervalMs === undefined) {
       return false;
     }
-    return now - this._heartbeatAt > kMissedIntervals * Math.max(kLeastIntervalMs, this._intervalMs);
+    return now - this._heartbeatAt > kMissedIntervals * Math.max(kMinIntervalMs, this._intervalMs);
   }
 }
--- a/packages/core/src/membership/targetRecord.ts
+++ b/packages/core/src/membership/targetRecord.ts
@@ -9,10 +9,10 @@
 import type { Suspicion } from '../quarantine/suspicion.js';
 
 /** Life of a target by its own announcements: `gone` is final for its instance, `unknown` holds until the target has spoken. */
-export type TargetLifeState = 'ready' | 'draining' | 'gone' | 'unknown';
+export type TargetLifecycleState = 'ready' | 'draining' | 'gone' | 'unknown';
 
 /** Intake of a target as other daemons should see it: `unreachable` while it takes no connections, whatever it announced. */
-export type TargetIntakeState = TargetLifeState | 'unreachable';
+export type TargetIntakeState = TargetLifecycleState | 'unreachable';
 
 /** The record of one host. Only the daemon on that host changes it. */
 export interface TargetRecord {
@@ -40,7 +40,7 @@
 }
 
 /** What orders the records of one host. */
-export type RecordOrder = Pick<TargetRecord, 'epoch' | 'revision'>;
+export type RecordVersion = Pick<TargetRecord, 'epoch' | 'revision'>;
 
 /** Whether two records are of the same incarnation of a target. */
 export function isSameIncarnation(a: Pick<TargetRecord, 'instance' | 'born'>, b: Pick<TargetRecord, 'instance' | 'born'>): boolean {
@@ -48,6 +48,6 @@
 }
 
 /** Whether `a` is a later word of its host than `b`. */
-export function isLaterRecord(a: RecordOrder, b: RecordOrder): boolean {
+export function isNewerRecord(a: RecordVersion, b: RecordVersion): boolean {
   return a.epoch !== b.epoch ? a.epoch > b.epoch : a.revision > b.revision;
 }
--- a/packages/daemon/src/app/claimService.ts
+++ b/packages/daemon/src/app/claimService.ts
@@ -77,9 +77,9 @@
 
   /** Address of the daemon of the own region that batches for a shard; undefined when it is this one. */
   private _home(shard: number): string | undefined {
-    if (this._homesOf !== this._view.changed) {
+    if (this._homesOf !== this._view.changeCount) {
       this._homes.clear();
-      this._homesOf = this._view.changed;
+      this._homesOf = this._view.changeCount;
     }
     if (!this._homes.has(shard)) {
       this._homes.set(shard, this._findHome(shard));
--- a/packages/daemon/src/app/daemon.ts
+++ b/packages/daemon/src/app/daemon.ts
@@ -273,7 +273,7 @@
     const name = this.target.announcement?.target;
     this.target.setIntake((name !== undefined ? cfg.targets[name] : undefined) ?? 'serving');
     this._refreshCandidates();
-    this.members.view.noteVersion(this.settings.id, this.config.fold.version);
+    this.members.view.setConfigVersion(this.settings.id, this.config.fold.version);
     void this.members.spread();
   }
 
@@ -357,7 +357,7 @@
 
   private async _askPeers(): Promise<{ answered: number }> {
     await this._readMembers();
-    const known = this.members.view.someAlive(kAskedPeers).map((member) => member.address);
+    const known = this.members.view.sampleAlive(kAskedPeers).map((member) => member.address);
     const asked = [...new Set([...known, ...this.settings.seeds])].filter((address) => address !== this.members.view.self.address);
     const answers = await Promise.all(
       asked.map(async (address) => {
--- a/packages/daemon/src/app/memberService.ts
+++ b/packages/daemon/src/app/memberService.ts
@@ -67,7 +67,7 @@
   pinged(from: string, configVersion: number, changes: Member[]): Pong {
     this._merge(changes);
     const now = monotonicMs();
-    this.view.answered(from, now);
+    this.view.markAlive(from, now);
     this._compareConfig(from, configVersion);
     this._notify();
     const { self } = this.view;
@@ -92,12 +92,12 @@
 
   /** Tells some others at once of what changed. */
   async spread(): Promise<void> {
-    await this._tell([...this.view.someAlive(kSpread, this.view.self.zone), ...this.view.someAlive(1)]);
+    await this._tell([...this.view.sampleAlive(kSpread, this.view.self.zone), ...this.view.sampleAlive(1)]);
   }
 
   /** Tells the same of a leave, and again to those who keep the last record until nearly all know it. */
   async spreadLeave(): Promise<void> {
-    const [, first] = await Promise.all([this.spread(), this._tell(this.view.keepersOf(this.view.self.id))]);
+    const [, first] = await Promise.all([this.spread(), this._tell(this.view.recordHoldersOf(this.view.self.id))]);
     let untold = first;
     for (let tries = 1; untold.length > kUntoldKeepers && tries < kLeaveTries; tries++) {
       untold = await this._tell(untold);
@@ -140,7 +140,7 @@
       return undefined;
     }
     this._merge(pong.changes);
-    this.view.answered(member.id, now);
+    this.view.markAlive(member.id, now);
     this._compareConfig(member.id, pong.configVersion);
     this._notify();
     return pong;
@@ -151,7 +151,7 @@
     const elapsed = now - this._lastTick;
     this._lastTick = now;
     if (elapsed > kPauseMs) {
-      this.view.resumed(now);
+      this.view.restartSuspicionTimers(now);
       this._events.onPause(elapsed);
     }
     this.view.tick(now);
@@ -183,7 +183,7 @@
   }
 
   private async _fetchRecords(id: string): Promise<void> {
-    const views = await Promise.all(this.view.keepersOf(id).map(({ address }) => this._peers.fetchMembers(address)));
+    const views = await Promise.all(this.view.recordHoldersOf(id).map(({ address }) => this._peers.fetchMembers(address)));
     this.learn(views.flatMap((members) => members ?? []));
   }
 
@@ -194,7 +194,7 @@
   }
 
   private async _fetchView(): Promise<void> {
-    const [other] = this.view.someAlive(1);
+    const [other] = this.view.sampleAlive(1);
     const members = other && (await this._peers.fetchMembers(other.address));
     this.learn(members ?? []);
   }
@@ -210,15 +210,15 @@
   }
 
   private _compareConfig(from: string, version: number): void {
-    this.view.noteVersion(from, version);
+    this.view.setConfigVersion(from, version);
     if (version > this.view.self.configVersion) {
       this._events.onNewerConfig(from);
     }
   }
 
   private _notify(): void {
-    if (this._announced !== this.view.changed) {
-      this._announced = this.view.changed;
+    if (this._announced !== this.view.changeCount) {
+      this._announced = this.view.changeCount;
       this._events.onChange();
     }
   }
--- a/packages/daemon/src/app/suspectService.ts
+++ b/packages/daemon/src/app/suspectService.ts
@@ -48,7 +48,7 @@
   }
 
   private async _tell(count: number, suspects: readonly Suspicion[]): Promise<void> {
-    const members = this._view.someAlive(count);
+    const members = this._view.sampleAlive(count);
     const answers = await Promise.all(members.map(({ address }) => this._peers.tellSuspects(address, suspects)));
     for (const known of answers) {
       this.suspects.take(known ?? []);
--- a/packages/mesh/src/app/calls/targetGate.ts
+++ b/packages/mesh/src/app/calls/targetGate.ts
@@ -19,12 +19,12 @@
   fingerprintOf,
   wallMs,
   type CallEnd,
-  type ReachEvidence,
+  type ReachabilityEvidence,
   type RepeatBound,
   RepeatBudget,
   SlotGate,
-  TargetLife,
-  TargetReach,
+  TargetLifecycle,
+  TargetReachability,
   isSameIncarnation,
   isWantOfRoom,
   type NotRunReason,
@@ -99,8 +99,8 @@
   private _lastCrash: number | undefined;
   private readonly _running = new Map<PeerCall, Waiting>();
   private _client: TargetClient | undefined;
-  private readonly _life: TargetLife;
-  private _reach = new TargetReach();
+  private readonly _life: TargetLifecycle;
+  private _reach = new TargetReachability();
   /** Connections that the target accepts, as known now. */
   private readonly _connections = (): number => this._deps.maxConnections(this._life.known.service);
   /** When the target is warm after its start, as it last announced, on the monotonic clock. */
@@ -113,7 +113,7 @@
   private _expiryTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly _deps: TargetGateDeps) {
-    this._life = new TargetLife(_deps.address);
+    this._life = new TargetLifecycle(_deps.address);
     this._budget = new RepeatBudget(_deps.bound);
     this._suspects = new SuspectGate<Waiting>(_deps.suspects, {
       onPass: (waiting) => {
@@ -176,10 +176,10 @@
     if (!isSameIncarnation(before, { instance, born }) || address !== before.address) {
       this._client?.close();
       this._client = undefined;
-      this._reach = new TargetReach();
+      this._reach = new TargetReachability();
     }
     if (word.instance === instance && word.state === 'ready') {
-      this._reach.note('heartbeat', monotonicMs());
+      this._reach.record('heartbeat', monotonicMs());
     }
     if (taken) {
       // Also when nothing changed that others should know: how long the target stays slow may be told for the first time.
@@ -195,7 +195,7 @@
 
   /** Takes what others remember of this host's target. */
   remember(record: TargetRecord): void {
-    if (this._life.remember(record)) {
+    if (this._life.applyRecord(record)) {
       const { instance, state } = this._life.known;
       this._deps.events.notable('target', `Others remember that the target is ${state}.`, { instance });
       this._apply();
@@ -379,8 +379,8 @@
   }
 
   /** Others should know at once when the target takes no connections, or does again; a late report of an earlier target is none. */
-  private _takeReach(reach: TargetReach, evidence: ReachEvidence): void {
-    if (reach !== this._reach || !reach.note(evidence, monotonicMs())) {
+  private _takeReach(reach: TargetReachability, evidence: ReachabilityEvidence): void {
+    if (reach !== this._reach || !reach.record(evidence, monotonicMs())) {
       return;
     }
     const { reachable } = reach;
--- a/packages/mesh/src/app/log/logFollower.ts
+++ b/packages/mesh/src/app/log/logFollower.ts
@@ -8,7 +8,7 @@
  * no reader is known to follow the log. The calls of a fleet grow with its zones and its changes, not with its hosts.
  */
 
-import { monotonicMs, ReaderRank, type ReaderPlace, type TargetDirectory, type TargetRecord } from '@gentiandrum/core';
+import { monotonicMs, ReaderRank, type ReaderRole, type TargetDirectory, type TargetRecord } from '@gentiandrum/core';
 import type { PeerMessage } from '../../client/peerMessages.js';
 import type { ConfigSource } from '../../ports.js';
 import { LogWriter, type LogWriterDeps } from './logWriter.js';
@@ -56,7 +56,7 @@
   private readonly _writer: LogWriter;
   /** Hosts that can't be reached from here. */
   private readonly _down = new Set<string>();
-  private _place: ReaderPlace = { kind: 'member', readers: [], ahead: [] };
+  private _place: ReaderRole = { kind: 'member', readers: [], ahead: [] };
   private _hasRead = false;
   /** Until then this daemon only makes itself known. */
   private _activeFrom = 0;
@@ -117,7 +117,7 @@
 
   /** Another daemon reports whether the log answers it. */
   reported(host: string, well: boolean): void {
-    this._rank.reported(host, well, monotonicMs());
+    this._rank.recordReport(host, well, monotonicMs());
   }
 
   /** A host can be reached, or can't. */
@@ -166,7 +166,7 @@
     }
     const now = monotonicMs();
     const members = this._members();
-    this._place = this._rank.place(members, (host) => this._down.has(host), now);
+    this._place = this._rank.determineRole(members, (host) => this._down.has(host), now);
     if (now < this._activeFrom) {
       // Alone in its zone, as far as it knows: those that read next should find it.
       this._writer.check(now, members.length === 1, members);
@@ -233,7 +233,7 @@
   }
 
   private _pollWithoutReader(now: number): void {
-    if (this._rank.served(now)) {
+    if (this._rank.hasHealthyReader(now)) {
       this._pollMs = this._windowMs;
       this._pollAt = now + this._windowMs * Math.random() * kPollSpread;
       return;
--- a/packages/mesh/src/app/log/logWriter.ts
+++ b/packages/mesh/src/app/log/logWriter.ts
@@ -8,7 +8,7 @@
  * wrote in time writes it by itself.
  */
 
-import { isLaterRecord, isSameIncarnation, type TargetRecord } from '@gentiandrum/core';
+import { isNewerRecord, isSameIncarnation, type TargetRecord } from '@gentiandrum/core';
 import type { MeshSettings } from '@gentiandrum/protocol';
 import type { PeerMessage } from '../../client/peerMessages.js';
 import type { RecordLog } from '../../ports.js';
@@ -78,7 +78,7 @@
   private _lacks(record: TargetRecord): boolean {
     const logged = this._inLog.get(record.host);
     // A daemon that has just started knows nothing of its target: what the log says of it must not be lost by that.
-    return logged === undefined || (record.state !== 'unknown' && isLaterRecord(record, logged));
+    return logged === undefined || (record.state !== 'unknown' && isNewerRecord(record, logged));
   }
 
   private _writeFor(now: number, members: readonly TargetRecord[]): void {
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -402,7 +402,7 @@
       metrics: this._metrics,
       events: this._events,
       candidates: (service) => this._directory.ready(service),
-      unreachable: (service) => this._directory.unreachable(service),
+      unreachable: (service) => this._directory.unreachableCount(service),
       choose: (candidates, excluded, route) => this._placement.choose(candidates, excluded, route),
       offer: (target, call, done) => this._offer(target, call, done),
       sent: (target, first) => {
--- a/packages/mesh/src/app/records/hostRecords.ts
+++ b/packages/mesh/src/app/records/hostRecords.ts
@@ -92,7 +92,7 @@
 
   /** Begins to take what the log has. */
   start(): void {
-    this._deps.directory.learn(this.own);
+    this._deps.directory.merge(this.own);
     this._deps.log.onChanges((changes, complete) => {
       this._takeChanges(changes, complete);
     });
@@ -111,7 +111,7 @@
     this._revision++;
     const record = this.own;
     this._noteTarget(this._deps.directory.get(record.host), record);
-    this._deps.directory.learn(record);
+    this._deps.directory.merge(record);
     this._deps.broadcast(record);
     // Others may have to act on a leaving after this daemon's end, so it is written at once; the zone's reader writes the rest.
     if (record.state === 'draining' || record.state === 'gone') {
@@ -168,7 +168,7 @@
 
   private _forget(host: string): void {
     if (host !== this._deps.settings.id) {
-      this._deps.directory.forget(host);
+      this._deps.directory.remove(host);
     }
   }
 
@@ -209,7 +209,7 @@
       suspects.take(record.suspects);
     }
     const before = directory.get(record.host);
-    if (!directory.learn(record)) {
+    if (!directory.merge(record)) {
       return;
     }
     this._deps.follower().updated(record);
--- a/packages/mesh/src/client/targetClient.ts
+++ b/packages/mesh/src/client/targetClient.ts
@@ -8,7 +8,7 @@
  * connection.
  */
 
-import { type CallEnd, monotonicMs, type ReachEvidence } from '@gentiandrum/core';
+import { type CallEnd, monotonicMs, type ReachabilityEvidence } from '@gentiandrum/core';
 import { Deadlines, type Due } from '../app/calls/deadlines.js';
 import { HeaderReader } from '../http/headerReader.js';
 import { requestBytes } from '../http/messageText.js';
@@ -35,7 +35,7 @@
 /** What a client tells of its target. */
 export interface TargetEvents {
   /** A connection came about, or did not. */
-  onReach(evidence: ReachEvidence): void;
+  onReach(evidence: ReachabilityEvidence): void;
   /** The target ended while these calls ran there; told before their ends are. */
   onCrash(calls: readonly PeerCall[]): void;
 }
@@ -135,7 +135,7 @@
     this._inquiry.close();
   }
 
-  private _takeReach(evidence: ReachEvidence): void {
+  private _takeReach(evidence: ReachabilityEvidence): void {
     if (evidence === 'refused') {
       this._inquiry.refused();
     }
--- a/tests/membership/readerRank.spec.ts
+++ b/tests/membership/readerRank.spec.ts
@@ -3,12 +3,12 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { ReaderRank, type ReaderPlace } from '@gentiandrum/core';
+import { ReaderRank, type ReaderRole } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 const kWindowMs = 1_000;
 const kHosts = Array.from({ length: 40 }, (_, i) => ({ host: `host-${i}` }));
-const kUp = (): boolean => false;
+const kAllReachable = (): boolean => false;
 
 /** The ranks of all hosts of one zone, with reports that reach all of them. */
 class Zone {
@@ -16,24 +16,24 @@
 
   report(host: string, well: boolean, now: number): void {
     this._ranks.forEach((rank) => {
-      rank.reported(host, well, now);
+      rank.recordReport(host, well, now);
     });
   }
 
-  place(host: string, now: number, isDown: (host: string) => boolean = kUp): ReaderPlace {
+  determineRole(host: string, now: number, isUnreachable: (host: string) => boolean = kAllReachable): ReaderRole {
     const rank = this._ranks.get(host);
     if (!rank) {
       throw new Error(`expected a host of the zone, got ${host}`);
     }
-    return rank.place(kHosts, isDown, now);
+    return rank.determineRole(kHosts, isUnreachable, now);
   }
 
   /** Hosts that take themselves for readers, the first one first. */
-  readers(now: number, isDown: (host: string) => boolean = kUp): string[] {
-    const places = kHosts.map(({ host }) => ({ host, place: this.place(host, now, isDown) }));
-    return places
-      .filter(({ place }) => place.kind === 'reader')
-      .sort((a, b) => Number(b.place.kind === 'reader' && b.place.first) - Number(a.place.kind === 'reader' && a.place.first))
+  readers(now: number, isUnreachable: (host: string) => boolean = kAllReachable): string[] {
+    const roles = kHosts.map(({ host }) => ({ host, role: this.determineRole(host, now, isUnreachable) }));
+    return roles
+      .filter(({ role }) => role.kind === 'reader')
+      .sort((a, b) => Number(b.role.kind === 'reader' && b.role.first) - Number(a.role.kind === 'reader' && a.role.first))
       .map(({ host }) => host);
   }
 }
@@ -44,15 +44,17 @@
     const [first = '', second = '', ...more] = zone.readers(0);
     t.deepEqual(more, []);
     for (const { host } of kHosts) {
-      const place = zone.place(host, 0);
-      t.deepEqual(place.kind === 'member' ? place.readers : [first, second], [first, second]);
+      const role = zone.determineRole(host, 0);
+      t.deepEqual(role.kind === 'member' ? role.readers : [first, second], [first, second]);
     }
   });
 
   it('should differ from zone to zone', (t) => {
     const firsts = Array.from(
       { length: 20 },
-      (_, i) => kHosts.find(({ host }) => new ReaderRank(`zone-${i}`, host, kWindowMs).place(kHosts, kUp, 0).kind === 'reader')?.host,
+      (_, i) =>
+        kHosts.find(({ host }) => new ReaderRank(`zone-${i}`, host, kWindowMs).determineRole(kHosts, kAllReachable, 0).kind === 'reader')
+          ?.host,
     );
     t.true(new Set(firsts).size > 5);
   });
@@ -60,8 +62,8 @@
   it('should be replaced at once when they can not be reached', (t) => {
     const zone = new Zone();
     const [first, second] = zone.readers(0);
-    const isDown = (host: string): boolean => host === first || host === second;
-    const replaced = kHosts.filter(({ host }) => !isDown(host) && zone.place(host, 0, isDown).kind === 'reader');
+    const isUnreachable = (host: string): boolean => host === first || host === second;
+    const replaced = kHosts.filter(({ host }) => !isUnreachable(host) && zone.determineRole(host, 0, isUnreachable).kind === 'reader');
     t.is(replaced.length, 2);
   });
 
@@ -102,11 +104,11 @@
 
   it('should be told to members by their reports, for the time of one window', (t) => {
     const rank = new ReaderRank('zone-1', 'host-1', kWindowMs);
-    t.false(rank.served(0));
-    rank.reported('host-2', false, 100);
-    t.false(rank.served(200));
-    rank.reported('host-3', true, 200);
-    t.true(rank.served(1_100));
-    t.false(rank.served(1_300));
+    t.false(rank.hasHealthyReader(0));
+    rank.recordReport('host-2', false, 100);
+    t.false(rank.hasHealthyReader(200));
+    rank.recordReport('host-3', true, 200);
+    t.true(rank.hasHealthyReader(1_100));
+    t.false(rank.hasHealthyReader(1_300));
   });
 });
--- a/tests/membership/targetDirectory.spec.ts
+++ b/tests/membership/targetDirectory.spec.ts
@@ -12,7 +12,7 @@
 
 function directoryOf(...records: TargetRecord[]): TargetDirectory {
   const directory = new TargetDirectory();
-  records.forEach((record) => directory.learn(record));
+  records.forEach((record) => directory.merge(record));
   return directory;
 }
 
@@ -25,8 +25,8 @@
 
   it('should not count hosts that said that they are gone, or that were forgotten', (t) => {
     const one = directoryOf(recordOf('h1'), recordOf('h2'), recordOf('h3'));
-    one.learn(recordOf('h2', 2, 'gone'));
-    one.forget('h3');
+    one.merge(recordOf('h2', 2, 'gone'));
+    one.remove('h3');
     t.deepEqual(one.digests, directoryOf(recordOf('h1')).digests);
   });
 
@@ -38,7 +38,7 @@
       ['h1'],
     );
     t.deepEqual(one.digests, directoryOf(recordOf('h1'), recordOf('h2')).digests);
-    one.learn(recordOf('h2', 2));
+    one.merge(recordOf('h2', 2));
     t.deepEqual(one.digests, directoryOf(recordOf('h1'), recordOf('h2', 2)).digests);
   });
 });
--- a/tests/membership/targetReach.spec.ts
+++ b/tests/membership/targetReachability.spec.ts
@@ -3,57 +3,57 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { TargetReach } from '@gentiandrum/core';
+import { TargetReachability } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 /** Heartbeats at an even interval, the last one at `until`. */
-function heartbeats(reach: TargetReach, intervalMs: number, until: number): void {
+function heartbeats(reach: TargetReachability, intervalMs: number, until: number): void {
   for (let now = 0; now <= until; now += intervalMs) {
-    reach.note('heartbeat', now);
+    reach.record('heartbeat', now);
   }
 }
 
 describe('reach of a target', () => {
   it('should take one refused connection for proof, whatever heartbeats say', (t) => {
-    const reach = new TargetReach();
-    t.true(reach.note('refused', 1_000));
+    const reach = new TargetReachability();
+    t.true(reach.record('refused', 1_000));
     t.false(reach.reachable);
-    t.false(reach.note('heartbeat', 1_010));
+    t.false(reach.record('heartbeat', 1_010));
     t.false(reach.reachable);
-    t.true(reach.note('connected', 1_020));
+    t.true(reach.record('connected', 1_020));
     t.true(reach.reachable);
   });
 
   it('should need two connections that did not come about, or one while heartbeats stay away', (t) => {
-    const alive = new TargetReach();
+    const alive = new TargetReachability();
     heartbeats(alive, 1_500, 9_000);
-    t.false(alive.note('timed_out', 9_100));
-    t.false(alive.note('connected', 9_200));
-    t.false(alive.note('timed_out', 9_300));
-    t.true(alive.note('timed_out', 9_400));
-    const silent = new TargetReach();
+    t.false(alive.record('timed_out', 9_100));
+    t.false(alive.record('connected', 9_200));
+    t.false(alive.record('timed_out', 9_300));
+    t.true(alive.record('timed_out', 9_400));
+    const silent = new TargetReachability();
     heartbeats(silent, 1_500, 9_000);
-    t.true(silent.note('timed_out', 14_000));
+    t.true(silent.record('timed_out', 14_000));
   });
 
   it('should probe an unreachable target more and more rarely, and at once when it sends a heartbeat', (t) => {
-    const reach = new TargetReach();
+    const reach = new TargetReachability();
     t.false(reach.takeProbe(0));
-    reach.note('refused', 0);
+    reach.record('refused', 0);
     const probes: number[] = [];
     for (let now = 0; now <= 4_000; now += 50) {
       if (reach.takeProbe(now)) {
         probes.push(now);
-        reach.note('refused', now);
+        reach.record('refused', now);
       }
     }
     t.deepEqual(probes, [100, 200, 400, 800, 1_600, 2_600, 3_600]);
-    reach.note('heartbeat', 4_010);
+    reach.record('heartbeat', 4_010);
     t.true(reach.takeProbe(4_010));
   });
 
   it('should probe a target whose heartbeats stay away, and not one that is only late', (t) => {
-    const reach = new TargetReach();
+    const reach = new TargetReachability();
     heartbeats(reach, 1_500, 9_000);
     t.false(reach.takeProbe(12_000));
     t.true(reach.takeProbe(13_600));
--- a/tests/membership/view.spec.ts
+++ b/tests/membership/view.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { kSuspicionMs, type Member, MemberView, seededRandom } from '@gentiandrum/core';
+import { kSuspicionTimeoutMs, type Member, MemberView, seededRandom } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 function member(id: string, more: Partial<Member> = {}): Member {
@@ -21,9 +21,9 @@
   it('should suspect before it declares dead', (t) => {
     const seen = view('a', ['b']);
     seen.suspect('b', 0);
-    seen.tick(kSuspicionMs - 1);
+    seen.tick(kSuspicionTimeoutMs - 1);
     t.is(seen.get('b')?.state, 'suspect');
-    seen.tick(kSuspicionMs);
+    seen.tick(kSuspicionTimeoutMs);
     t.is(seen.get('b')?.state, 'dead');
   });
 
@@ -47,17 +47,17 @@
 
   it('should agree with others on who keeps the last record of one that leaves', (t) => {
     const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
-    const keepers = (of: string, at: string): string[] =>
+    const holders = (of: string, at: string): string[] =>
       view(
         at,
         ids.filter((id) => id !== at),
       )
-        .keepersOf(of)
+        .recordHoldersOf(of)
         .map(({ id }) => id);
-    const told = keepers('a', 'a');
+    const told = holders('a', 'a');
     t.is(told.length, 3);
     for (const sender of ids.slice(1)) {
-      const asked = keepers('a', sender);
+      const asked = holders('a', sender);
       t.is(asked.length, 3);
       t.deepEqual(
         told.filter((id) => id !== sender),
@@ -69,7 +69,7 @@
   it('should let no suspicion ripen while the process was paused', (t) => {
     const seen = view('a', ['b']);
     seen.suspect('b', 0);
-    seen.resumed(60_000);
+    seen.restartSuspicionTimers(60_000);
     seen.tick(60_000);
     t.is(seen.get('b')?.state, 'suspect');
   });
@@ -77,10 +77,10 @@
   it('should try the dead now and then, so that a healed cut is noticed', (t) => {
     const seen = view('a', ['b', 'c']);
     seen.suspect('b', 0);
-    seen.tick(kSuspicionMs);
+    seen.tick(kSuspicionTimeoutMs);
     const probed = new Set(Array.from({ length: 200 }, () => seen.nextProbe()?.id));
     t.true(probed.has('b'));
-    seen.answered('b', 10_000);
+    seen.markAlive('b', 10_000);
     t.is(seen.get('b')?.state, 'alive');
   });
 
--- a/tests/mesh/logFollower.spec.ts
+++ b/tests/mesh/logFollower.spec.ts
@@ -153,7 +153,7 @@
   ) {
     this.daemons = Array.from({ length: count }, (_, i) => new FakeDaemon(`host-${i}`, this, this.log, _time));
     for (const daemon of this.daemons) {
-      this.daemons.forEach(({ host }) => daemon.directory.learn(this.recordOf(host, 1)));
+      this.daemons.forEach(({ host }) => daemon.directory.merge(this.recordOf(host, 1)));
       daemon.follower.start();
       daemon.follower.beginReading();
     }
@@ -360,7 +360,7 @@
     withZone(10, async (zone) => {
       await zone.run(5_000);
       const lone = zone.daemons.find(({ follower }) => !follower.reads);
-      lone?.directory.learn(zone.recordOf(lone.host, 2));
+      lone?.directory.merge(zone.recordOf(lone.host, 2));
       await zone.run(8_000);
       t.is(zone.log.written.get(lone?.host ?? '')?.revision, 2);
     }),
--- a/tests/routing/deadTargets.spec.ts
+++ b/tests/routing/deadTargets.spec.ts
@@ -13,7 +13,7 @@
   seededRandom,
   SlotGate,
   TargetDirectory,
-  TargetReach,
+  TargetReachability,
   type TargetRecord,
 } from '@gentiandrum/core';
 import { describe, itAlone } from '../support/describe.js';
@@ -46,7 +46,7 @@
     run: () => void;
     refuse: (reason: 'overloaded' | 'unreachable') => void;
   }>[] = [];
-  private readonly _reach: TargetReach[] = [];
+  private readonly _reach: TargetReachability[] = [];
   private readonly _revisions: number[] = [];
   private _nextId = 1;
 
@@ -57,7 +57,7 @@
   ) {
     for (let i = 0; i < kHosts; i++) {
       this._placements.push(new Placement(`h${i}`, 'z', _random));
-      this._reach.push(new TargetReach());
+      this._reach.push(new TargetReachability());
       this._revisions.push(0);
       const gate: (typeof this._gates)[number] = new SlotGate({
         onStart: (call) => {
@@ -135,7 +135,7 @@
       revision,
     };
     this._time.after(kPropagationMs, () => {
-      this._directory.learn(record);
+      this._directory.merge(record);
       if (state === 'ready') {
         this._placements.forEach((placement) => {
           placement.markReachable(record.host);
@@ -186,7 +186,7 @@
   }
 
   private _recordEvidence(at: number, evidence: 'refused' | 'connected'): void {
-    if (this._reach[at]?.note(evidence, this._time.now) !== true) {
+    if (this._reach[at]?.record(evidence, this._time.now) !== true) {
       return;
     }
     if (evidence === 'refused') {
