--- a/packages/core/src/membership/memberView.ts
+++ b/packages/core/src/membership/memberView.ts
@@ -4,27 +4,23 @@
  */
 
 /**
- * What one daemon knows of the others.
- *
- * Records spread with the daemons' pings. A daemon alone changes its own record and numbers each change; others may only
- * raise suspicion, which the suspected daemon refutes with a higher number. Suspicion that stands becomes death; the dead
- * are still tried now and then, so that a healed partition is noticed.
+ * Membership view of one daemon. Records spread by gossip with the daemons' pings. Only the daemon itself changes its record, with a new
+ * revision for each change; others may only suspect it, which it refutes with a higher revision. A suspicion that is not refuted in time
+ * marks the daemon dead. Dead daemons are still probed occasionally, to detect the end of a network partition.
  */
 
 import type { Random } from '../util/random.js';
 import { RendezvousRank } from '../util/rendezvous.js';
 
-/** State of a daemon. */
 export type MemberState = 'alive' | 'suspect' | 'dead' | 'left';
-/** State of the target on a daemon's host. */
 export type TargetState = 'absent' | 'serving' | 'leaving';
 
-/** Record of a daemon. */
+/** Record of a daemon and of the target on its host. */
 export interface Member {
   id: string;
-  /** Grows with each start. */
+  /** Increases with each start of the daemon. */
   incarnation: number;
-  /** Grows with each change that the daemon announces of itself. */
+  /** Increases with each change that the daemon makes to its record. */
   revision: number;
   address: string;
   zone: string;
@@ -34,18 +30,18 @@
   service: string;
   targetState: TargetState;
   slots: number;
-  /** Version of the configuration when last heard from the daemon itself. */
+  /** Version of the configuration that the daemon last reported. */
   configVersion: number;
-  /** What a daemon that left says of the offers that it took; undefined while it is there, and when it can't tell. */
+  /** Attempts that the daemon can't prove settled; undefined before it has left, and when there are too many to list. */
   leaveProof?: LeaveProof | undefined;
 }
 
-/** Offers whose senders may not know how they ended. All others were answered, or never taken. */
+/** Attempts whose senders may not know the result. All other attempts were answered or never accepted. */
 export interface LeaveProof {
   unsettled: string[];
 }
 
-/** Whether a daemon's last record proves that this incarnation of it never took an offer whose end its sender doesn't know. */
+/** Whether the last record of a daemon proves that this incarnation never accepted an attempt whose result was lost. */
 export function provesNeverTaken(member: Member | undefined, incarnation: number, attempt: string): boolean {
   const left = member?.state === 'left' && member.incarnation === incarnation;
   return left && member.leaveProof !== undefined && !member.leaveProof.unsettled.includes(attempt);
@@ -53,27 +49,27 @@
 
 interface MemberEntry {
   member: Member;
-  /** Monotonic time of the latest change of state, in milliseconds. */
+  /** Monotonic time of the latest change, or of the restart of its suspicion timeout, in milliseconds. */
   changedAt: number;
-  /** How often the latest change was passed on. */
+  /** Number of times that the latest change was sent. */
   sendCount: number;
 }
 
-/** Time from suspicion to death. */
+/** Time after which a suspected daemon is marked dead, in milliseconds. */
 export const kSuspicionTimeoutMs = 2_000;
-/** Time after which a dead or departed daemon is forgotten. */
+/** Time after which the record of a daemon that is dead or has left is removed, in milliseconds. */
 const kRetentionMs = 3_600_000;
 const kMaxChanges = 24;
 const kRetransmitFactor = 3;
-/** Count of sendings of a record that need not be passed on any more. */
+/** Send count of a record that is not sent again. */
 const kFullySpread = 1_000;
-/** Share of the probes that go to the dead. */
+/** Share of the probes that go to dead daemons. */
 const kDeadProbeShare = 0.1;
-/** Daemons that keep the last record of another one: two may be unreachable, or short of time, at the same moment. */
+/** Daemons that receive the last record of a leaving daemon directly; tolerates two that are unreachable or slow. */
 const kRecordHolders = 3;
 const kStateRank: Record<MemberState, number> = { alive: 0, suspect: 1, dead: 2, left: 3 };
 
-/** Membership view of one daemon. */
+/** Records of all known daemons, with the state that this daemon assigns to them. */
 export class MemberView {
   private readonly _entries = new Map<string, MemberEntry>();
   private _probeOrder: string[] = [];
@@ -87,27 +83,25 @@
     this._entries.set(_self.id, { member: _self, changedAt: now, sendCount: 0 });
   }
 
-  /** Own record. */
+  /** Record of the local daemon. */
   get self(): Member {
     return this._self;
   }
 
-  /** Number that grows with every change of the view. */
+  /** Increases with every change of the view. */
   get changeCount(): number {
     return this._changeCount;
   }
 
-  /** All records. */
   all(): Member[] {
     return [...this._entries.values()].map(({ member }) => member);
   }
 
-  /** Record of one daemon. */
   get(id: string): Member | undefined {
     return this._entries.get(id)?.member;
   }
 
-  /** Changes the own record; nothing happens when all values are as they were. */
+  /** Changes the local daemon's record, and its revision if any value differs. */
   update(change: Partial<Member>, now: number): void {
     const next = { ...this._self, ...change };
     if (JSON.stringify(next) === JSON.stringify(this._self)) {
@@ -117,8 +111,8 @@
   }
 
   /**
-   * Takes a record from another daemon; true when it was news. What came with a whole view is not passed on: others
-   * fetch whole views too.
+   * Merges a record from another daemon; returns whether it was newer. Records from a complete view are not retransmitted, as other
+   * daemons fetch complete views too.
    */
   merge(member: Member, now: number, retransmit = true): boolean {
     if (member.id === this._self.id) {
@@ -137,10 +131,7 @@
     return true;
   }
 
-  /**
-   * Notes the configuration version that a daemon holds, as heard from itself. It makes no news to pass on: each new
-   * version would otherwise change every record.
-   */
+  /** Sets the configuration version that a daemon reported. The change is not sent on, as each new version changes all records. */
   setConfigVersion(id: string, configVersion: number): void {
     const known = this._entries.get(id);
     if (!known) {
@@ -153,7 +144,7 @@
     }
   }
 
-  /** Notes that a daemon answered: suspicion of it, raised here, is dropped. */
+  /** Marks a daemon alive in this view after it responded. */
   markAlive(id: string, now: number): void {
     const known = this._entries.get(id);
     if (!known || known.member.state === 'alive' || known.member.state === 'left') {
@@ -163,7 +154,7 @@
     this._changeCount++;
   }
 
-  /** Raises suspicion of a daemon that didn't answer. */
+  /** Suspects a daemon that did not respond. */
   suspect(id: string, now: number): void {
     const known = this._entries.get(id);
     if (known?.member.state !== 'alive' || id === this._self.id) {
@@ -173,7 +164,7 @@
     this._changeCount++;
   }
 
-  /** Turns suspicion that stands into death, and forgets what died long ago. */
+  /** Marks daemons dead when their suspicion times out, and removes expired records. */
   tick(now: number): void {
     for (const [id, known] of this._entries) {
       const age = now - known.changedAt;
@@ -187,7 +178,7 @@
     }
   }
 
-  /** After the process was paused: what the view knows may be stale, so nobody's suspicion may ripen from it. */
+  /** Restarts the suspicion timeouts after this process was paused, as refutations may not have been received. */
   restartSuspicionTimers(now: number): void {
     for (const known of this._entries.values()) {
       if (known.member.state === 'suspect') {
@@ -196,7 +187,7 @@
     }
   }
 
-  /** Changes to pass on with a ping, the latest first: an old one has spread, or comes with a whole view. */
+  /** Returns the changes to send with a ping, the latest first, and counts them as sent. */
   takeChanges(): Member[] {
     const maxSends = kRetransmitFactor * Math.ceil(Math.log2(this._entries.size + 1));
     const pending = [...this._entries.values()].filter((known) => known.sendCount < maxSends);
@@ -208,7 +199,7 @@
     return taken.map(({ member }) => member);
   }
 
-  /** Next daemon to ping: each in turn, in an order drawn anew each round; now and then a dead one. */
+  /** Returns the next daemon to ping: each in turn, in a random order for each round, and occasionally a dead one. */
   nextProbe(): Member | undefined {
     const dead = this._others((state) => state === 'dead');
     if (dead.length > 0 && this._random() < kDeadProbeShare) {
@@ -226,7 +217,7 @@
     return dead[0];
   }
 
-  /** Up to `count` daemons at random that are believed alive, those of the own zone if `zone` is given. */
+  /** Returns up to `count` random daemons that are alive, limited to `zone` if given. */
   sampleAlive(count: number, zone?: string): Member[] {
     const alive = this._others((state) => state === 'alive').filter((member) => zone === undefined || member.zone === zone);
     const drawn: Member[] = [];
@@ -237,8 +228,8 @@
   }
 
   /**
-   * Daemons that know the last record of one that leaves before anybody else: that one tells them, and whoever needs the record asks them.
-   * All rank alike, so no message is needed to agree.
+   * Returns the daemons that a leaving daemon sends its last record to, and that others request it from. All daemons compute the same
+   * ranking.
    */
   recordHoldersOf(id: string): Member[] {
     const ranked = new RendezvousRank(id).order(
@@ -277,7 +268,7 @@
   }
 }
 
-/** Whether a record is newer than the one held. */
+/** Whether a record is newer than the current one. */
 function supersedes(member: Member, current: Member): boolean {
   if (member.incarnation !== current.incarnation) {
     return member.incarnation > current.incarnation;
--- a/packages/core/src/membership/readerRank.ts
+++ b/packages/core/src/membership/readerRank.ts
@@ -4,38 +4,41 @@
  */
 
 /**
- * Which hosts of an availability zone follow the platform's log for the others. Every daemon works it out by itself, from the same
- * ranking of the hosts that it believes alive: no election, no lease. Two zones' views may differ for a moment; one reader too many
- * costs a few calls, and one too few is made up for by looks of the members.
+ * Determines which hosts of an availability zone read the platform's log for the others. Each daemon computes this from the same ranking of
+ * the hosts that it considers alive, without an election or a lease. Views may differ for a short time: an extra reader costs a few
+ * calls, and without a reader the members poll the log themselves.
  */
 
 import { RendezvousRank } from '../util/rendezvous.js';
 
-/** Readers of a zone: a second one, so that nothing is late when the first dies without a word. */
+/** Readers of a zone; the second one is a hot standby. */
 const kReadersPerZone = 2;
 /**
- * Hosts that say that the log does not answer them, from which on nobody else of the zone takes their place: it is the log that is
- * away, and each further reader would only add refused calls.
+ * Number of hosts reporting that the log does not respond at which no other host replaces them: the log itself is then presumed
+ * unavailable, and more readers would only add failing calls.
  */
 const kMaxFailingReaders = 3;
 
-/** What a daemon last said of its reading. */
+/** Latest report of a daemon on whether the log responds to it. */
 interface ReaderReport {
   healthy: boolean;
   at: number;
 }
 
-/** What this host does for its zone; `first` also follows and writes the hosts' records. `ahead` rank before it or read for it. */
+/**
+ * Role of this host in its zone. The `first` reader also reads and writes the hosts' records. `ahead` lists the higher-ranked hosts that
+ * were considered.
+ */
 export type ReaderRole = { kind: 'reader'; first: boolean; ahead: string[] } | { kind: 'member'; readers: string[]; ahead: string[] };
 
-/** Ranks the hosts of one zone as readers. */
+/** Assigns reader roles to the hosts of one zone. Times are monotonic, in milliseconds. */
 export class ReaderRank {
   private readonly _rank: RendezvousRank;
   private readonly _reports = new Map<string, ReaderReport>();
-  /** Since when a host counts among the readers here, so that it gets the time to say so. */
+  /** Time since which a host is expected to be a reader; its first report is due one window later. */
   private _expectedSince = new Map<string, number>();
 
-  /** @param _windowMs time without a report after which a reader is passed over, in milliseconds */
+  /** @param _windowMs time without a report after which a reader is replaced, in milliseconds */
   constructor(
     zone: string,
     private readonly _self: string,
@@ -44,12 +47,12 @@
     this._rank = new RendezvousRank(zone);
   }
 
-  /** Notes what a daemon reports of its reading. */
+  /** Records whether the log responds to a daemon. */
   recordReport(host: string, healthy: boolean, now: number): void {
     this._reports.set(host, { healthy, at: now });
   }
 
-  /** Whether a daemon of the zone reported lately that the log answers it. */
+  /** Whether a daemon of the zone reported within the last window that the log responds to it. */
   hasHealthyReader(now: number): boolean {
     for (const [host, { healthy, at }] of this._reports) {
       if (now - at > this._windowMs) {
@@ -61,7 +64,7 @@
     return false;
   }
 
-  /** The place of this host among the hosts of its zone; `isDown` tells of those that can't be reached from here. */
+  /** Returns the role of this host among the hosts of its zone. */
   determineRole(hosts: readonly { host: string }[], isUnreachable: (host: string) => boolean, now: number): ReaderRole {
     const readers: string[] = [];
     const expectedSince = new Map<string, number>();
--- a/packages/core/src/membership/targetDirectory.ts
+++ b/packages/core/src/membership/targetDirectory.ts
@@ -3,24 +3,24 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What a daemon believes of all hosts: the latest record of each, whichever way it came. */
+/** Latest known record of each host. */
 
 import { hashText } from '../util/hashText.js';
 import { isNewerRecord, type TargetRecord } from './targetRecord.js';
 
 const kNoRecords: readonly TargetRecord[] = [];
 
-/** The latest record of each host. */
+/** Stores the records, an index of ready targets by service, and a digest of the records of each zone. */
 export class TargetDirectory {
   private readonly _records = new Map<string, TargetRecord>();
-  /** Ready targets by service; a list is never changed, but replaced, so that what is worked out from one holds as long as it does. */
+  /** Ready targets by service. Lists are immutable, so that callers can cache results by list. */
   private readonly _ready = new Map<string, readonly TargetRecord[]>();
   private _membersRevision = 0;
   private readonly _digests = new Map<string, number>();
-  /** What each host adds to the digest of its zone. */
+  /** Contribution of each host to the digest of its zone. */
   private readonly _digested = new Map<string, { zone: string; hash: number }>();
 
-  /** Takes a record; true when it is news. */
+  /** Merges a record; returns whether it was newer than the known one. */
   merge(record: TargetRecord): boolean {
     const known = this._records.get(record.host);
     if (known && !isNewerRecord(record, known)) {
@@ -31,7 +31,7 @@
     return true;
   }
 
-  /** Takes a host for gone, though nobody has said so; whatever is later than what was known of it counts again. */
+  /** Marks a host as gone without a record from it; its next newer record replaces this state. */
   presumeGone(host: string): void {
     const known = this._records.get(host);
     if (known) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Forgets a host that left for good. */
+  /** Removes a host that was decommissioned. */
   remove(host: string): void {
     const known = this._records.get(host);
     if (known) {
@@ -50,51 +50,47 @@
     }
   }
 
-  /** Changes whenever a host joins or leaves. */
+  /** Increases whenever a host joins or leaves. */
   get membersRevision(): number {
     return this._membersRevision;
   }
 
-  /** The record of a host. */
   get(host: string): TargetRecord | undefined {
     return this._records.get(host);
   }
 
-  /** Hosts that a record is known of. */
   get size(): number {
     return this._records.size;
   }
 
-  /** All records. */
   all(): TargetRecord[] {
     return [...this._records.values()];
   }
 
-  /** All records, one by one, in the order in which the hosts became known. */
+  /** Iterates over all records in the order in which the hosts became known. */
   values(): IterableIterator<TargetRecord> {
     return this._records.values();
   }
 
-  /** Records of the targets of a service that take new work. */
+  /** Returns the records of the targets of a service that accept requests. */
   ready(service: string): readonly TargetRecord[] {
     return this._ready.get(service) ?? kNoRecords;
   }
 
   /**
-   * A number for the records of each zone, the same in two daemons that hold the same ones: thus they compare what they know in some
-   * bytes instead of 180 a host. Hosts that said that they are gone don't count, as some daemons forget them sooner; what is only presumed
-   * here changes nothing, or this daemon would differ from all others for good.
+   * Digest of the records of each zone, by which two daemons compare their records. Excludes hosts that announced `gone`, as daemons remove
+   * them at different times. Ignores presumed states, which are local to this daemon.
    */
   get digests(): Readonly<Record<string, number>> {
     return Object.fromEntries(this._digests);
   }
 
-  /** Targets of a service that take no connections now, and may again. */
+  /** Returns the number of targets of a service that currently accept no connections. */
   unreachableCount(service: string): number {
     return this.all().filter((record) => record.service === service && record.state === 'unreachable').length;
   }
 
-  /** Whether any host's record names the service. */
+  /** Whether the record of any host names the service. */
   hasService(service: string): boolean {
     return this.all().some((record) => record.service === service);
   }
@@ -133,7 +129,7 @@
     }
   }
 
-  /** Exclusive or: what is toggled twice is out again. */
+  /** Adds a hash to the digest of a zone, or removes it, by exclusive or. */
   private _toggleInDigest(zone: string, hash: number): void {
     this._digests.set(zone, ((this._digests.get(zone) ?? 0) ^ hash) >>> 0);
   }
--- a/packages/core/src/membership/targetLifecycle.ts
+++ b/packages/core/src/membership/targetLifecycle.ts
@@ -4,59 +4,58 @@
  */
 
 /**
- * Life of the target on one host, from its own announcements and from what other daemons remember of it. Words may come late and
- * out of order; what was once said of an instance's end stays true.
+ * Lifecycle of the target on one host, derived from its announcements and from records that other daemons hold. Announcements may arrive
+ * late and out of order; an incarnation that has ended stays ended.
  */
 
 import type { TargetLifecycleState, TargetRecord } from './targetRecord.js';
 
-/** Instances whose end is remembered; late heartbeats are seconds late, and a host does not see as many targets in that time. */
+/** Ended incarnations that are kept to reject their late heartbeats; exceeds the number that a host starts within seconds. */
 const kMaxEndedIncarnations = 20;
 
-/** One word of a target to the daemon on its host. */
+/** Announcement of a target to the daemon on its host. */
 export interface Announcement {
   instance: string;
-  /** Start of the incarnation, in milliseconds of the wall clock: a target may start again under its id. Some targets don't say. */
+  /** Start of the incarnation, in milliseconds of the wall clock; undefined if the target does not report it. */
   born?: number | undefined;
   state: 'ready' | 'draining' | 'gone';
-  /** Grows with each word of the instance; a late one is smaller. */
+  /** Increases with each announcement of the instance. */
   sequence: number;
-  /** What a `gone` leaves out. */
+  /** Undefined for `gone`. */
   details?: { service: string; address: string; slots: number; coldMs: number };
 }
 
-/** What is known of a target. */
+/** Known state of a target. */
 export interface KnownTarget {
-  /** Id of the target; empty until anything was heard of it. */
+  /** Id of the target; empty until it is known. */
   instance: string;
-  /** Start of its incarnation; 0 when it doesn't say. */
+  /** Start of its incarnation, in milliseconds of the wall clock; 0 if unknown. */
   born: number;
   service: string;
   address: string;
   slots: number;
-  /** How much longer it stays slow after its start, in milliseconds. */
+  /** Remaining warm-up time, in milliseconds. */
   coldMs: number;
   state: TargetLifecycleState;
 }
 
-/** Follows one target after another on the same host. */
+/** Tracks the successive targets on one host. */
 export class TargetLifecycle {
   private _known: KnownTarget;
   private _sequence = -1;
-  /** Incarnations that have left or were replaced, the oldest first. */
+  /** Keys of incarnations that are gone or were replaced, the oldest first. */
   private readonly _ended = new Set<string>();
 
-  /** @param address of the targets on this host, as the settings tell it */
+  /** @param address address of the targets on this host, from the settings */
   constructor(address: string) {
     this._known = { instance: '', born: 0, service: '', address, slots: 0, coldMs: 0, state: 'unknown' };
   }
 
-  /** What is known as of now. */
   get known(): Readonly<KnownTarget> {
     return this._known;
   }
 
-  /** Takes an announcement of the target; true when it changed anything that others should know. */
+  /** Applies an announcement; returns whether it changed anything that other daemons need to know. */
   announce(announcement: Announcement): boolean {
     if (!this._shouldApply(announcement)) {
       return false;
@@ -71,11 +70,10 @@
   }
 
   /**
-   * Takes what others remember of the target, until it speaks itself; true when it changed anything. A leaving one stays leaving,
-   * whoever acknowledged it. A daemon that stops as planned says "unknown" last of a target that is well, so that one is used again;
-   * should it be another instance by now, it refuses what was meant for this one. So is one that took no connections: whether it does
-   * now shows with the first call. "Ready" is not believed: the daemon that said so was killed, and may have acknowledged since that
-   * the target leaves, with nobody left who knows.
+   * Applies a record of this host from another daemon; returns whether it changed anything. A target that was draining or gone stays so.
+   * `unknown`, the last state from a daemon that shut down while its target was ready, and `unreachable` count as ready; the first call
+   * shows whether the target responds. `ready` is ignored: the daemon that wrote it crashed, and may have acknowledged since then that the
+   * target is draining.
    */
   applyRecord({
     instance,
@@ -101,8 +99,8 @@
   }
 
   /**
-   * What is over for an incarnation stays over: its heartbeats may come late, also after another one took its place, and also to a daemon
-   * that started meanwhile and never heard of it. One that was born earlier than the known one is over.
+   * Rejects late and repeated announcements: those of ended incarnations, of incarnations that started before the known one, and those with
+   * an outdated sequence number.
    */
   private _shouldApply(announcement: Announcement): boolean {
     const { instance, born = 0, state, sequence } = announcement;
@@ -120,7 +118,7 @@
     return true;
   }
 
-  /** Whether an incarnation is the known one. One that doesn't say when it was born is told by its id alone. */
+  /** Whether an incarnation is the known one. Without a start time, the ids are compared alone. */
   private _isCurrent({ instance, born = 0 }: Pick<Announcement, 'instance' | 'born'>): boolean {
     return instance === this._known.instance && (born === 0 || this._known.born === 0 || born === this._known.born);
   }
@@ -145,7 +143,7 @@
     }
   }
 
-  /** A target's states only go forward. */
+  /** Changes the state unless the new one precedes the current one. */
   private _advance(state: TargetLifecycleState): void {
     if (stateOrder(state) > stateOrder(this._known.state)) {
       this._known = { ...this._known, state };
--- a/packages/core/src/membership/targetReachability.ts
+++ b/packages/core/src/membership/targetReachability.ts
@@ -4,31 +4,28 @@
  */
 
 /**
- * Whether the target of this host takes connections. A target that crashes announces nothing, and its last heartbeat may still be
- * under way, so connections decide: one that is refused outweighs whatever was announced, and one that comes about ends the doubt.
- *
- * Without this an empty gate in front of a dead target looks like the best choice of all: eight such hosts of 71 were offered 300
- * calls a second for the rest of a day, each of which used up one of its request's attempts.
+ * Tracks whether the target of this host accepts connections. A target that crashes announces nothing, so the results of connections take
+ * precedence over its announcements. Otherwise the idle gate of a crashed target would attract calls.
  */
 
-/** Doubt from which on the target counts as unreachable, and what a connection that did not come about in time adds to it. */
+/** Failure score at which the target counts as unreachable, and the score of a connection that timed out. */
 const kUnreachableScore = 1;
 const kTimeoutScore = 0.5;
-/** First and longest pause between two probes of an unreachable target, in milliseconds: one that is back is used within a second. */
+/** Initial and maximum interval between probes of an unreachable target, in milliseconds. */
 const kInitialProbeMs = 100;
 const kMaxProbeMs = 1_000;
-/** Pause between two probes of a target whose heartbeats stay away, in milliseconds. */
+/** Interval between probes of a target that misses heartbeats, in milliseconds. */
 const kMissedHeartbeatProbeMs = 1_000;
-/** Intervals without a heartbeat after which one is missed: heartbeats may be late by about one. */
+/** Number of intervals without a heartbeat after which the target misses heartbeats. */
 const kMissedIntervals = 3;
-/** Weight of the newest interval in the mean, and the shortest mean that counts, in milliseconds. */
+/** Weight of the newest interval in the mean interval, and the lower bound of that mean, in milliseconds. */
 const kIntervalWeight = 0.3;
 const kMinIntervalMs = 500;
 
-/** What was seen of the target: a connection that came about, was refused, or did not come about in time; or its heartbeat. */
+/** Result of a connection attempt, or a heartbeat of the target. */
 export type ReachabilityEvidence = 'connected' | 'refused' | 'timed_out' | 'heartbeat';
 
-/** Follows one incarnation of a target. Times are on the monotonic clock, in milliseconds. */
+/** Reachability of one incarnation of a target. Times are monotonic, in milliseconds. */
 export class TargetReachability {
   private _reachable = true;
   private _failureScore = 0;
@@ -37,12 +34,11 @@
   private _heartbeatAt: number | undefined;
   private _intervalMs: number | undefined;
 
-  /** Whether the target takes connections, as far as is known. */
   get reachable(): boolean {
     return this._reachable;
   }
 
-  /** Takes what was seen; true when it changed {@link reachable}. */
+  /** Records evidence; returns whether it changed {@link reachable}. */
   record(evidence: ReachabilityEvidence, now: number): boolean {
     const before = this._reachable;
     switch (evidence) {
@@ -64,7 +60,7 @@
     return this._reachable !== before;
   }
 
-  /** Whether a connection should be tried now to find out; counts as tried when it says so. */
+  /** Returns whether to probe the target now, and if so schedules the next probe. */
   takeProbe(now: number): boolean {
     if (now < this._nextProbeAt || (this._reachable && !this._missesHeartbeats(now))) {
       return false;
@@ -83,7 +79,7 @@
     }
   }
 
-  /** A heartbeat does not make the target reachable, it only makes a probe worth its while. */
+  /** A heartbeat does not make the target reachable; it only triggers the next probe. */
   private _recordHeartbeat(now: number): void {
     if (this._heartbeatAt !== undefined) {
       const interval = now - this._heartbeatAt;
--- a/packages/core/src/membership/targetRecord.ts
+++ b/packages/core/src/membership/targetRecord.ts
@@ -3,51 +3,49 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What daemons tell each other, and the log, of the target on their host. */
+/** Record of the target on one host, which daemons exchange and store in the platform's log. */
 
 import type { LearnedChains } from '../admission/learnedChains.js';
 import type { Suspicion } from '../quarantine/suspicion.js';
 
-/** Life of a target by its own announcements: `gone` is final for its instance, `unknown` holds until the target has spoken. */
+/** Lifecycle state that a target announces. `gone` is final for its incarnation; `unknown` applies until its first announcement. */
 export type TargetLifecycleState = 'ready' | 'draining' | 'gone' | 'unknown';
 
-/** Intake of a target as other daemons should see it: `unreachable` while it takes no connections, whatever it announced. */
+/** State of a target for other daemons: `unreachable` while it accepts no connections, regardless of its announcements. */
 export type TargetIntakeState = TargetLifecycleState | 'unreachable';
 
 /** The record of one host. Only the daemon on that host changes it. */
 export interface TargetRecord {
-  /** Name of the host. */
   host: string;
   zone: string;
-  /** Address at which the host's daemon takes calls of other daemons. */
+  /** Address at which the host's daemon accepts connections from other daemons. */
   peers: string;
   service: string;
-  /** Id of the target; empty until it has spoken. */
+  /** Id of the target; empty until its first announcement. */
   instance: string;
-  /** Start of its incarnation, in milliseconds of the wall clock; 0 or absent when it doesn't say. */
+  /** Start of its incarnation, in milliseconds of the wall clock; 0 or undefined if the target does not report it. */
   born?: number | undefined;
   state: TargetIntakeState;
-  /** Calls that the target works on at once. */
+  /** Number of calls that the target runs concurrently. */
   slots: number;
-  /** Kept here for the time after a restart; absent until enough was seen. */
+  /** Learned call chains of the target's routes, kept across restarts; undefined until enough calls were observed. */
   learned?: LearnedChains | undefined;
-  /** Kinds of requests that are held back since the target here ended by them: kept for a start of all daemons. */
+  /** Quarantined request fingerprints that crashed this target, kept for a restart of all daemons. */
   suspects?: readonly Suspicion[] | undefined;
   /** Start of the daemon that wrote the record, in milliseconds of the wall clock. */
   epoch: number;
-  /** Number of the change within the epoch. */
+  /** Increases with each change within the epoch. */
   revision: number;
 }
 
-/** What orders the records of one host. */
+/** Fields that order the records of one host. */
 export type RecordVersion = Pick<TargetRecord, 'epoch' | 'revision'>;
 
-/** Whether two records are of the same incarnation of a target. */
 export function isSameIncarnation(a: Pick<TargetRecord, 'instance' | 'born'>, b: Pick<TargetRecord, 'instance' | 'born'>): boolean {
   return a.instance === b.instance && (a.born ?? 0) === (b.born ?? 0);
 }
 
-/** Whether `a` is a later word of its host than `b`. */
+/** Whether `a` is a newer record of the same host than `b`. */
 export function isNewerRecord(a: RecordVersion, b: RecordVersion): boolean {
   return a.epoch !== b.epoch ? a.epoch > b.epoch : a.revision > b.revision;
 }
--- a/tests/membership/readerRank.spec.ts
+++ b/tests/membership/readerRank.spec.ts
@@ -10,7 +10,7 @@
 const kHosts = Array.from({ length: 40 }, (_, i) => ({ host: `host-${i}` }));
 const kAllReachable = (): boolean => false;
 
-/** The ranks of all hosts of one zone, with reports that reach all of them. */
+/** All hosts of one zone; each report reaches all of them. */
 class Zone {
   private readonly _ranks = new Map(kHosts.map(({ host }) => [host, new ReaderRank('zone-1', host, kWindowMs)]));
 
@@ -28,7 +28,7 @@
     return rank.determineRole(kHosts, isUnreachable, now);
   }
 
-  /** Hosts that take themselves for readers, the first one first. */
+  /** Returns the hosts that consider themselves readers, starting with the first reader. */
   readers(now: number, isUnreachable: (host: string) => boolean = kAllReachable): string[] {
     const roles = kHosts.map(({ host }) => ({ host, role: this.determineRole(host, now, isUnreachable) }));
     return roles
@@ -39,7 +39,7 @@
 }
 
 describe('readers of a zone', () => {
-  it('should be the same two hosts at every daemon, and one of them the first', (t) => {
+  it('should be the same two hosts at every daemon, one of them the first reader', (t) => {
     const zone = new Zone();
     const [first = '', second = '', ...more] = zone.readers(0);
     t.deepEqual(more, []);
@@ -49,7 +49,7 @@
     }
   });
 
-  it('should differ from zone to zone', (t) => {
+  it('should differ between zones', (t) => {
     const firsts = Array.from(
       { length: 20 },
       (_, i) =>
@@ -59,7 +59,7 @@
     t.true(new Set(firsts).size > 5);
   });
 
-  it('should be replaced at once when they can not be reached', (t) => {
+  it('should be replaced immediately when they are unreachable', (t) => {
     const zone = new Zone();
     const [first, second] = zone.readers(0);
     const isUnreachable = (host: string): boolean => host === first || host === second;
@@ -67,7 +67,7 @@
     t.is(replaced.length, 2);
   });
 
-  it('should be replaced when they report nothing for a while, and take their place again when they do', (t) => {
+  it('should be replaced when they send no reports for one window, and become readers again when they do', (t) => {
     const zone = new Zone();
     const [first = '', second = ''] = zone.readers(0);
     zone.report(second, true, 900);
@@ -78,17 +78,17 @@
     t.deepEqual(zone.readers(1_700), [first, second]);
   });
 
-  it('should be replaced when the log turns them away, by one other each', (t) => {
+  it('should each be replaced by one other host when the log does not respond to them', (t) => {
     const zone = new Zone();
     const [first = '', second = ''] = zone.readers(0);
     zone.report(first, false, 100);
     const readers = zone.readers(100);
-    t.true(readers.includes(first), 'the one that is turned away goes on trying');
+    t.true(readers.includes(first), 'the failing reader keeps trying');
     t.true(readers.includes(second));
     t.is(readers.length, 3);
   });
 
-  it('should not become more than a few when the log answers nobody', (t) => {
+  it('should remain few when the log is unavailable', (t) => {
     const zone = new Zone();
     const tried = new Set<string>();
     for (let now = 0; now < 60_000; now += 500) {
@@ -102,7 +102,7 @@
     t.true(tried.size <= 5, String(tried.size));
   });
 
-  it('should be told to members by their reports, for the time of one window', (t) => {
+  it('should count as healthy for one window after a report', (t) => {
     const rank = new ReaderRank('zone-1', 'host-1', kWindowMs);
     t.false(rank.hasHealthyReader(0));
     rank.recordReport('host-2', false, 100);
--- a/tests/membership/takenOffers.spec.ts
+++ b/tests/membership/takenOffers.spec.ts
@@ -3,21 +3,21 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What a daemon that leaves can prove of the offers that it took; the story is told in `e2e/leavingDaemon`. */
+/** Guards against a wrong proof in a daemon's last record, which would let an accepted offer run a second time. */
 
 import { type Effect, type Member, plannedStop, provesNeverTaken, type Reply, TakenOffers } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 const kDeadline = 1_000;
-/** Time for which an offer is named after its deadline, in milliseconds. */
+/** Time for which an offer is listed after its deadline, in milliseconds. */
 const kNamedAfterMs = 60_000;
 
 function offer(attempt: string): { attempt: string; deadline: number } {
   return { attempt, deadline: kDeadline };
 }
 
-describe('offers that a daemon took', () => {
-  it('should be named until the next one on their connection shows that the answer was read', (t) => {
+describe('offers that a daemon accepted', () => {
+  it('should be listed until the next offer on their connection shows that the response was received', (t) => {
     const taken = new TakenOffers<object>();
     const connection = {};
     t.true(taken.take(connection, 'a1', offer('first')));
@@ -29,7 +29,7 @@
     t.deepEqual(taken.senders, ['a1']);
   });
 
-  it('should be named after the end of their connection, whoever ended it, until nobody can wait any more', (t) => {
+  it('should be listed after their connection has closed, until their deadline has passed by a minute', (t) => {
     const taken = new TakenOffers<object>();
     const connection = {};
     taken.take(connection, 'a1', offer('first'));
@@ -39,7 +39,7 @@
     t.deepEqual(taken.leaveProof(kDeadline + kNamedAfterMs), { unsettled: [] });
   });
 
-  it('should not be named once their sender said that it has no open offers', (t) => {
+  it('should not be listed once their sender has reported that it has no open offers', (t) => {
     const taken = new TakenOffers<object>();
     const ended = {};
     taken.take(ended, 'a1', offer('first'));
@@ -51,7 +51,7 @@
     t.deepEqual(taken.leaveProof(0), { unsettled: ['third'] });
   });
 
-  it('should not be named when they were refused, also after the end of their connection', (t) => {
+  it('should not be listed when they were refused, even after their connection has closed', (t) => {
     const taken = new TakenOffers<object>();
     const [one, other] = [{}, {}];
     taken.take(one, 'a1', offer('first'));
@@ -62,7 +62,7 @@
     t.deepEqual(taken.leaveProof(0), { unsettled: [] });
   });
 
-  it('should prove nothing when there are too many to name', (t) => {
+  it('should yield no proof when there are too many to list', (t) => {
     const taken = new TakenOffers<object>();
     for (let i = 0; i <= 50; i++) {
       taken.take({}, 'a1', offer(`attempt ${i}`));
@@ -88,7 +88,7 @@
     leaveProof: { unsettled: ['taken'] },
   };
 
-  it('should prove of all offers but those that it names that they were never taken', (t) => {
+  it('should prove that offers that it does not list were never accepted', (t) => {
     t.true(provesNeverTaken(left, 7, 'other'));
     t.false(provesNeverTaken(left, 7, 'taken'));
   });
@@ -100,7 +100,7 @@
     t.false(provesNeverTaken(undefined, 7, 'other'));
   });
 
-  it('should come after what runs has ended, and the senders have no open offers', (t) => {
+  it('should be sent after all runs have finished and the senders have no open offers', (t) => {
     const steps: string[] = [];
     const note = (step: string) => (): void => {
       steps.push(step);
--- a/tests/membership/targetDirectory.spec.ts
+++ b/tests/membership/targetDirectory.spec.ts
@@ -17,20 +17,20 @@
 }
 
 describe('digests of a directory', () => {
-  it('should be the same for the same records, in whatever order and by whatever steps they came', (t) => {
+  it('should be the same for the same records, regardless of their order and of earlier revisions', (t) => {
     const one = directoryOf(recordOf('h1'), recordOf('h2', 1), recordOf('h2', 2));
     t.deepEqual(one.digests, directoryOf(recordOf('h2', 2), recordOf('h1')).digests);
     t.notDeepEqual(one.digests, directoryOf(recordOf('h1'), recordOf('h2')).digests);
   });
 
-  it('should not count hosts that said that they are gone, or that were forgotten', (t) => {
+  it('should exclude hosts that announced that they are gone, and removed hosts', (t) => {
     const one = directoryOf(recordOf('h1'), recordOf('h2'), recordOf('h3'));
     one.merge(recordOf('h2', 2, 'gone'));
     one.remove('h3');
     t.deepEqual(one.digests, directoryOf(recordOf('h1')).digests);
   });
 
-  it('should not differ from those of others because a host is presumed gone here, nor later when it speaks again', (t) => {
+  it('should not change when a host is presumed gone, and match again after its next record', (t) => {
     const one = directoryOf(recordOf('h1'), recordOf('h2'));
     one.presumeGone('h2');
     t.deepEqual(
--- a/tests/membership/targetLifecycle.spec.ts
+++ b/tests/membership/targetLifecycle.spec.ts
@@ -18,8 +18,8 @@
   return { instance, state: 'gone', sequence: 0 };
 }
 
-describe('life of a target', () => {
-  it('should follow its words, and report only what changed', (t) => {
+describe('target lifecycle', () => {
+  it('should follow announcements in sequence, and report changes only', (t) => {
     const life = new TargetLifecycle('10.0.0.1:80');
     t.true(life.announce(announcement('a', 'ready', 1)));
     t.false(life.announce(announcement('a', 'ready', 2)));
@@ -30,14 +30,14 @@
     t.is(life.known.state, 'gone');
   });
 
-  it('should keep a goodbye that is the first word of its instance', (t) => {
+  it('should accept `gone` as the first announcement of an instance', (t) => {
     const life = new TargetLifecycle('10.0.0.1:80');
     t.true(life.announce(goneAnnouncement('a')));
     t.false(life.announce(announcement('a', 'ready', 9)));
     t.is(life.known.state, 'gone');
   });
 
-  it('should take up a new instance, and none that it took the place of', (t) => {
+  it('should switch to a new instance, and reject the one that it replaced', (t) => {
     const life = new TargetLifecycle('10.0.0.1:80');
     life.announce(announcement('a', 'ready', 5));
     t.true(life.announce(announcement('b', 'ready', 1)));
@@ -47,7 +47,7 @@
     t.is(life.known.state, 'ready');
   });
 
-  it('should believe the memory of others of a planned stop and of leaving, but not that a target is ready', (t) => {
+  it('should apply records of a planned stop and of draining, but not of a ready target', (t) => {
     const killed = new TargetLifecycle('10.0.0.1:80');
     t.false(killed.applyRecord({ ...kRecord, state: 'ready' }));
     t.is(killed.known.state, 'unknown');
@@ -60,7 +60,7 @@
     t.false(stopped.applyRecord({ ...kRecord, instance: 'other', state: 'gone' }));
   });
 
-  it('should take up a target that starts again under its id, whose counts begin anew', (t) => {
+  it('should accept a restarted target with the same id and a new sequence', (t) => {
     const life = new TargetLifecycle('10.0.0.1:80');
     life.announce({ ...announcement('a', 'ready', 50), born: 1_000 });
     life.announce({ ...announcement('a', 'draining', 51), born: 1_000 });
@@ -71,7 +71,7 @@
     t.is(life.known.state, 'draining');
   });
 
-  it('should believe no late announcement of a dead incarnation, also one that this daemon never heard of', (t) => {
+  it('should reject late announcements of an earlier incarnation, including an unknown one', (t) => {
     const life = new TargetLifecycle('10.0.0.1:80');
     life.announce({ ...announcement('a', 'ready', 1), born: 2_000 });
     t.false(life.announce({ ...announcement('a', 'draining', 60), born: 1_000 }));
@@ -82,7 +82,7 @@
     t.true(life.announce({ ...announcement('a', 'ready', 2), born: 2_000, details: { ...kDetails, slots: 9 } }));
   });
 
-  it('should not hold a target to what was acknowledged for its earlier incarnation', (t) => {
+  it('should not apply the state of an earlier incarnation to the current one', (t) => {
     const life = new TargetLifecycle('10.0.0.1:80');
     t.true(life.applyRecord({ ...kRecord, born: 1_000, state: 'gone' }));
     t.false(life.announce({ ...announcement('a', 'ready', 9), born: 1_000 }));
@@ -92,7 +92,7 @@
     t.is(life.known.state, 'ready');
   });
 
-  it('should never be ready again once an incarnation was said to leave, nor an earlier one than the known, whatever comes', (t) => {
+  it('should never return to ready after an incarnation was draining or gone, nor to an earlier incarnation', (t) => {
     const instances = fc.constantFrom('a', 'b');
     const births = fc.constantFrom(1_000, 2_000, 3_000);
     const words = fc.oneof(
@@ -128,7 +128,7 @@
     );
   });
 
-  it('should never be ready again once an instance that does not say when it was born was said to leave', (t) => {
+  it('should never return to ready after an instance without a start time was draining or gone', (t) => {
     const instances = fc.constantFrom('a', 'b', 'c');
     const words = fc.oneof(
       fc.record({ instance: instances, state: fc.constantFrom('ready', 'draining'), sequence: fc.nat(9), details: fc.constant(kDetails) }),
@@ -141,7 +141,7 @@
         for (const one of said) {
           const current = life.known.instance;
           life.announce(one);
-          // A word of leaving counts when it is heard in order, or ends the instance for good.
+          // `draining` counts if it arrives in sequence; `gone` always ends the instance.
           if (one.state === 'gone' || (life.known.instance === one.instance && life.known.state === 'draining')) {
             left.add(one.instance);
           }
--- a/tests/membership/targetReachability.spec.ts
+++ b/tests/membership/targetReachability.spec.ts
@@ -6,15 +6,15 @@
 import { TargetReachability } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
-/** Heartbeats at an even interval, the last one at `until`. */
+/** Records heartbeats at a fixed interval, up to `until`. */
 function heartbeats(reach: TargetReachability, intervalMs: number, until: number): void {
   for (let now = 0; now <= until; now += intervalMs) {
     reach.record('heartbeat', now);
   }
 }
 
-describe('reach of a target', () => {
-  it('should take one refused connection for proof, whatever heartbeats say', (t) => {
+describe('target reachability', () => {
+  it('should be unreachable after one refused connection, regardless of heartbeats', (t) => {
     const reach = new TargetReachability();
     t.true(reach.record('refused', 1_000));
     t.false(reach.reachable);
@@ -24,7 +24,7 @@
     t.true(reach.reachable);
   });
 
-  it('should need two connections that did not come about, or one while heartbeats stay away', (t) => {
+  it('should be unreachable after two connection timeouts, or one while heartbeats are missing', (t) => {
     const alive = new TargetReachability();
     heartbeats(alive, 1_500, 9_000);
     t.false(alive.record('timed_out', 9_100));
@@ -36,7 +36,7 @@
     t.true(silent.record('timed_out', 14_000));
   });
 
-  it('should probe an unreachable target more and more rarely, and at once when it sends a heartbeat', (t) => {
+  it('should probe an unreachable target with exponential backoff, and immediately after a heartbeat', (t) => {
     const reach = new TargetReachability();
     t.false(reach.takeProbe(0));
     reach.record('refused', 0);
@@ -52,7 +52,7 @@
     t.true(reach.takeProbe(4_010));
   });
 
-  it('should probe a target whose heartbeats stay away, and not one that is only late', (t) => {
+  it('should probe a target that misses heartbeats, and not one whose heartbeat is late', (t) => {
     const reach = new TargetReachability();
     heartbeats(reach, 1_500, 9_000);
     t.false(reach.takeProbe(12_000));
--- a/tests/membership/view.spec.ts
+++ b/tests/membership/view.spec.ts
@@ -18,7 +18,7 @@
 }
 
 describe('a membership view', () => {
-  it('should suspect before it declares dead', (t) => {
+  it('should suspect a daemon before it marks it dead', (t) => {
     const seen = view('a', ['b']);
     seen.suspect('b', 0);
     seen.tick(kSuspicionTimeoutMs - 1);
@@ -38,14 +38,14 @@
     t.is(other.get('a')?.state, 'alive');
   });
 
-  it('should take a later incarnation at the same address for the living one, and no earlier word about it', (t) => {
+  it('should accept a later incarnation, and reject records of the earlier one', (t) => {
     const seen = view('a', ['b']);
     seen.merge(member('b', { incarnation: 2 }), 0);
     t.false(seen.merge(member('b', { state: 'dead', revision: 9 }), 0));
     t.is(seen.get('b')?.incarnation, 2);
   });
 
-  it('should agree with others on who keeps the last record of one that leaves', (t) => {
+  it('should agree with other daemons on the holders of the last record of a leaving daemon', (t) => {
     const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
     const holders = (of: string, at: string): string[] =>
       view(
@@ -66,7 +66,7 @@
     }
   });
 
-  it('should let no suspicion ripen while the process was paused', (t) => {
+  it('should restart suspicion timeouts after the process was paused', (t) => {
     const seen = view('a', ['b']);
     seen.suspect('b', 0);
     seen.restartSuspicionTimers(60_000);
@@ -74,7 +74,7 @@
     t.is(seen.get('b')?.state, 'suspect');
   });
 
-  it('should try the dead now and then, so that a healed cut is noticed', (t) => {
+  it('should probe dead daemons occasionally, to detect the end of a partition', (t) => {
     const seen = view('a', ['b', 'c']);
     seen.suspect('b', 0);
     seen.tick(kSuspicionTimeoutMs);
@@ -84,7 +84,7 @@
     t.is(seen.get('b')?.state, 'alive');
   });
 
-  it('should pass each change on a bounded number of times', (t) => {
+  it('should send each change a bounded number of times', (t) => {
     const seen = view('a', ['b', 'c', 'd']);
     let sent = 0;
     for (let i = 0; i < 100; i++) {
@@ -93,7 +93,7 @@
     t.true(sent > 0 && sent <= 4 * 9, String(sent));
   });
 
-  it('should spread a change to all of 490 within a few rounds', (t) => {
+  it('should spread a change to 490 daemons within a few rounds', (t) => {
     const random = seededRandom(9);
     const ids = Array.from({ length: 490 }, (_, i) => `d${i}`);
     const views = ids.map((id) => {
--- a/tests/targets/localTarget.spec.ts
+++ b/tests/targets/localTarget.spec.ts
@@ -7,8 +7,8 @@
 import { describe, it } from '../support/describe.js';
 const kTarget = { target: 't', service: 's', slots: 1, connections: 1, accepting: true };
 
-describe('a target that comes back at another address', () => {
-  it('should still take no new work while the operator lets it leave', (t) => {
+describe('a target that restarts at another address', () => {
+  it('should accept no requests while the operator drains it', (t) => {
     const events = { onStart: () => undefined, onShed: () => undefined };
     const local = new LocalTarget(
       () => 'goodput',
