--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -72,7 +72,7 @@
 export * from './util/random.js';
 export * from './util/rendezvous.js';
 export * from './util/results.js';
-export * from './util/suspensionWatch.js';
+export * from './util/suspensionDetector.js';
 export * from './workspaces/credentials.js';
 export * from './workspaces/freshness.js';
 export * from './workspaces/quotaAsker.js';
--- a/packages/core/src/util/hashText.ts
+++ b/packages/core/src/util/hashText.ts
@@ -22,8 +22,8 @@
 
 /** A hash of two hashes, from 0 to 2^32 - 1: for ranks of many pairs, at a hundredth of the time that hashing their texts takes. */
 export function hashPair(a: number, b: number): number {
-  let mixed = a ^ Math.imul(b, 0x9e3779b1);
-  mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
-  mixed = Math.imul(mixed ^ (mixed >>> 13), 0xc2b2ae35);
-  return (mixed ^ (mixed >>> 16)) >>> 0;
+  let hash = a ^ Math.imul(b, 0x9e3779b1);
+  hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
+  hash = Math.imul(hash ^ (hash >>> 13), 0xc2b2ae35);
+  return (hash ^ (hash >>> 16)) >>> 0;
 }
--- a/packages/core/src/util/suspensionWatch.ts
+++ b/packages/core/src/util/suspensionDetector.ts
@@ -13,28 +13,28 @@
 import { monotonicMs, wallMs } from './clock.js';
 
 /** Lead of the time of day from which on it is a suspension, in milliseconds: above what clocks are slewed between two looks. */
-const kLeastMs = 50;
+const kMinSuspensionMs = 50;
 
 /** Compares the two clocks; cheap enough for each request. */
-export class SuspensionWatch {
-  private _ahead = wallMs() - monotonicMs();
+export class SuspensionDetector {
+  private _wallLeadMs = wallMs() - monotonicMs();
   private _count = 0;
-  private _lastMs = 0;
+  private _lastDurationMs = 0;
 
   /** Suspensions so far, one that ended just now included. */
   get count(): number {
-    const ahead = wallMs() - monotonicMs();
-    const gapMs = ahead - this._ahead;
-    this._ahead = ahead;
-    if (gapMs > kLeastMs) {
+    const wallLeadMs = wallMs() - monotonicMs();
+    const gapMs = wallLeadMs - this._wallLeadMs;
+    this._wallLeadMs = wallLeadMs;
+    if (gapMs > kMinSuspensionMs) {
       this._count++;
-      this._lastMs = gapMs;
+      this._lastDurationMs = gapMs;
     }
     return this._count;
   }
 
   /** Length of the latest, in milliseconds. */
-  get lastMs(): number {
-    return this._lastMs;
+  get lastDurationMs(): number {
+    return this._lastDurationMs;
   }
 }
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -12,7 +12,7 @@
   monotonicMs,
   Placement,
   Suspects,
-  SuspensionWatch,
+  SuspensionDetector,
   TargetDirectory,
   type TargetRecord,
   trialTarget,
@@ -81,7 +81,7 @@
   private readonly _follower: LogFollower;
   private readonly _gate: TargetGate;
   private readonly _suspects: Suspects;
-  private readonly _suspensions = new SuspensionWatch();
+  private readonly _suspensions = new SuspensionDetector();
   private readonly _workspaces: Workspaces;
   private readonly _network: PeerNetwork;
   private readonly _calls: CallServer;
--- a/packages/mesh/src/app/workspaces/proofKeeper.ts
+++ b/packages/mesh/src/app/workspaces/proofKeeper.ts
@@ -5,7 +5,7 @@
 
 /** Keeps the proof of how fresh this daemon's configuration is: from its own reads of the log, and from other daemons. */
 
-import { Freshness, monotonicMs, type ProofReply, type SuspensionWatch, type VersionProof } from '@gentiandrum/core';
+import { Freshness, monotonicMs, type ProofReply, type SuspensionDetector, type VersionProof } from '@gentiandrum/core';
 import type { RevocationSettings } from '@gentiandrum/protocol';
 import type { PeerMessage } from '../../client/peerMessages.js';
 import type { EventLog } from '../eventLog.js';
@@ -31,7 +31,7 @@
   sendTo(host: string, message: PeerMessage): void;
   /** Sends to some linked daemons, drawn anew each time. */
   sendSome(count: number, message: PeerMessage): void;
-  suspensions: SuspensionWatch;
+  suspensions: SuspensionDetector;
   events: EventLog;
 }
 
@@ -113,7 +113,7 @@
     if (count !== this._suspensions) {
       this._suspensions = count;
       this._freshness.suspended(monotonicMs());
-      events.notable('workspaces', 'The host was suspended: keys need a new proof.', { ms: Math.round(suspensions.lastMs) });
+      events.notable('workspaces', 'The host was suspended: keys need a new proof.', { ms: Math.round(suspensions.lastDurationMs) });
     }
   }
 
--- a/packages/mesh/src/app/workspaces/workspaces.ts
+++ b/packages/mesh/src/app/workspaces/workspaces.ts
@@ -6,7 +6,7 @@
 /** What one daemon does for workspaces beyond a single request: its proof of freshness, its parts of quotas, and messages about both. */
 
 import type { MeshConfig, MeshSettings } from '@gentiandrum/protocol';
-import type { RoutingTables, SuspensionWatch, TargetDirectory, VersionProof } from '@gentiandrum/core';
+import type { RoutingTables, SuspensionDetector, TargetDirectory, VersionProof } from '@gentiandrum/core';
 import type { PeerLink } from '../../client/peerLink.js';
 import type { CallWorkspace } from '../../client/callCodec.js';
 import type { PeerMessage, WorkspaceMessage } from '../../client/peerMessages.js';
@@ -32,7 +32,7 @@
   sendOrDial(host: string, message: PeerMessage): void;
   /** Sends to some linked daemons, drawn anew each time. */
   sendSome(count: number, message: PeerMessage): void;
-  suspensions: SuspensionWatch;
+  suspensions: SuspensionDetector;
   events: EventLog;
 }
 
--- a/tests/membership/view.spec.ts
+++ b/tests/membership/view.spec.ts
@@ -54,14 +54,14 @@
       )
         .recordHoldersOf(of)
         .map(({ id }) => id);
-    const told = holders('a', 'a');
-    t.is(told.length, 3);
+    const sentTo = holders('a', 'a');
+    t.is(sentTo.length, 3);
     for (const sender of ids.slice(1)) {
-      const asked = holders('a', sender);
-      t.is(asked.length, 3);
+      const requestedFrom = holders('a', sender);
+      t.is(requestedFrom.length, 3);
       t.deepEqual(
-        told.filter((id) => id !== sender),
-        asked.filter((id) => told.includes(id)),
+        sentTo.filter((id) => id !== sender),
+        requestedFrom.filter((id) => sentTo.includes(id)),
       );
     }
   });
