--- a/packages/core/src/util/clock.ts
+++ b/packages/core/src/util/clock.ts
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The runtime's clocks. Tests pause and advance both with fake timers. */
+/** Monotonic and wall clock. Tests replace both with fake timers. */
 
-/** Milliseconds on the monotonic clock; for durations and deadlines within one process. */
+/** Returns the monotonic time in milliseconds, for durations and deadlines within one process. */
 export function monotonicMs(): number {
   return performance.now();
 }
 
-/** Milliseconds since the epoch; only for what leaves the process. */
+/** Returns the wall clock time in milliseconds since the Unix epoch, for times that leave the process. */
 export function wallMs(): number {
   return Date.now();
 }
--- a/packages/core/src/util/random.ts
+++ b/packages/core/src/util/random.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Seeded random numbers, so that a run can be repeated. */
+/** Seeded random numbers for reproducible runs. */
 
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -13,7 +13,7 @@
 
 const kRange = 0x7fffffff;
 
-/** Returns a source that gives the same numbers for the same seed. */
+/** Returns a source that yields the same sequence for the same seed. */
 export function seededRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   return () => uniformInt(generator, 0, kRange - 1) / kRange;
--- a/packages/core/src/util/rendezvous.ts
+++ b/packages/core/src/util/rendezvous.ts
@@ -4,19 +4,19 @@
  */
 
 /**
- * Rendezvous hashing: all daemons rank the same hosts alike for a key without a message, and a host that joins or leaves changes
- * no other host's rank.
+ * Rendezvous hashing: all daemons compute the same ranking of hosts for a key, and a host that joins or leaves does not change the relative
+ * order of the others.
  */
 
 import { hashText } from './hashText.js';
 
-/** Ranks hosts for one key; keeps their weights, as hashing takes ten times as long as comparing. */
+/** Ranks hosts for one key, with a cache of their weights. */
 export class RendezvousRank {
   private readonly _weights = new Map<string, number>();
 
   constructor(private readonly _key: string) {}
 
-  /** The items by falling weight of their hosts. */
+  /** Returns the items by descending weight of their hosts. */
   order<T extends { host: string }>(items: readonly T[]): T[] {
     return items
       .map((item) => ({ item, weight: this._weightOf(item.host) }))
--- a/packages/core/src/util/results.ts
+++ b/packages/core/src/util/results.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The one place that imports ts-results: as CommonJS its names can't be imported one by one at run time. */
+/** Reexports ts-results, a CommonJS module that does not support named imports at run time. */
 
 import tsResults, { type Result } from 'ts-results';
 
--- a/packages/core/src/util/suspensionDetector.ts
+++ b/packages/core/src/util/suspensionDetector.ts
@@ -4,24 +4,22 @@
  */
 
 /**
- * Notices that the host was suspended. The steady clock does not count that time and the time of day does, so the latter runs ahead all at
- * once. A time of day that was set forward looks the same, which costs what relies on elapsed time a renewal, and is safe; the boot clock
- * would tell the two apart, but the runtime reads it from a file, in steps of 10 ms and some 5 us each. A suspension that a time of day set
- * back by as much hides is not seen.
+ * Detects that the host was suspended, by a sudden lead of the wall clock over the monotonic clock, which stops during a suspension. A wall
+ * clock that is set forward is reported as a suspension too, which is safe; one that is set back can hide a suspension.
  */
 
 import { monotonicMs, wallMs } from './clock.js';
 
-/** Lead of the time of day from which on it is a suspension, in milliseconds: above what clocks are slewed between two looks. */
+/** Minimum increase of the lead that counts as a suspension, in milliseconds; exceeds the clock slew between two checks. */
 const kMinSuspensionMs = 50;
 
-/** Compares the two clocks; cheap enough for each request. */
+/** Compares the two clocks whenever {@link count} is read. */
 export class SuspensionDetector {
   private _wallLeadMs = wallMs() - monotonicMs();
   private _count = 0;
   private _lastDurationMs = 0;
 
-  /** Suspensions so far, one that ended just now included. */
+  /** Number of suspensions, including one since the previous read. */
   get count(): number {
     const wallLeadMs = wallMs() - monotonicMs();
     const gapMs = wallLeadMs - this._wallLeadMs;
@@ -33,7 +31,7 @@
     return this._count;
   }
 
-  /** Length of the latest, in milliseconds. */
+  /** Duration of the latest detected suspension, in milliseconds. */
   get lastDurationMs(): number {
     return this._lastDurationMs;
   }
