--- a/packages/core/src/membership/targetDirectory.ts
+++ b/packages/core/src/membership/targetDirectory.ts
@@ -3,147 +3,143 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What a daemon believes of all hosts: the latest record of each, whichever way it came. */
+/** Latest known record of each host. */
 
 import { hashText } from '../util/hashText.js';
-import { isLaterRecord, type TargetRecord } from './targetRecord.js';
+import { isNewerRecord, type TargetRecord } from './targetRecord.js';
 
-const kNone: readonly TargetRecord[] = [];
+const kNoRecords: readonly TargetRecord[] = [];
 
-/** The latest record of each host. */
+/** Stores the records, an index of ready targets by service, and a digest of the records of each zone. */
 export class TargetDirectory {
   private readonly _records = new Map<string, TargetRecord>();
-  /** Ready targets by service; a list is never changed, but replaced, so that what is worked out from one holds as long as it does. */
+  /** Ready targets by service. Lists are immutable, so that callers can cache results by list. */
   private readonly _ready = new Map<string, readonly TargetRecord[]>();
   private _membersRevision = 0;
   private readonly _digests = new Map<string, number>();
-  /** What each host adds to the digest of its zone. */
-  private readonly _counted = new Map<string, { zone: string; hash: number }>();
+  /** Contribution of each host to the digest of its zone. */
+  private readonly _digested = new Map<string, { zone: string; hash: number }>();
 
-  /** Takes a record; true when it is news. */
-  learn(record: TargetRecord): boolean {
+  /** Merges a record; returns whether it was newer than the known one. */
+  merge(record: TargetRecord): boolean {
     const known = this._records.get(record.host);
-    if (known && !isLaterRecord(record, known)) {
+    if (known && !isNewerRecord(record, known)) {
       return false;
     }
-    this._count(record);
-    this._put(record, known);
+    this._addToDigest(record);
+    this._store(record, known);
     return true;
   }
 
-  /** Takes a host for gone, though nobody has said so; whatever is later than what was known of it counts again. */
+  /** Marks a host as gone without a record from it; its next newer record replaces this state. */
   presumeGone(host: string): void {
     const known = this._records.get(host);
     if (known) {
-      this._put({ ...known, state: 'gone' }, known);
+      this._store({ ...known, state: 'gone' }, known);
     }
   }
 
-  /** Forgets a host that left for good. */
-  forget(host: string): void {
+  /** Removes a host that was decommissioned. */
+  remove(host: string): void {
     const known = this._records.get(host);
     if (known) {
       this._membersRevision++;
       this._records.delete(host);
-      this._discount(host);
-      this._unlist(known);
+      this._removeFromDigest(host);
+      this._removeReady(known);
     }
   }
 
-  /** Changes whenever a host joins or leaves. */
+  /** Increases whenever a host joins or leaves. */
   get membersRevision(): number {
     return this._membersRevision;
   }
 
-  /** The record of a host. */
   get(host: string): TargetRecord | undefined {
     return this._records.get(host);
   }
 
-  /** Hosts that a record is known of. */
   get size(): number {
     return this._records.size;
   }
 
-  /** All records. */
   all(): TargetRecord[] {
     return [...this._records.values()];
   }
 
-  /** All records, one by one, in the order in which the hosts became known. */
+  /** Iterates over all records in the order in which the hosts became known. */
   values(): IterableIterator<TargetRecord> {
     return this._records.values();
   }
 
-  /** Records of the targets of a service that take new work. */
+  /** Returns the records of the targets of a service that accept requests. */
   ready(service: string): readonly TargetRecord[] {
-    return this._ready.get(service) ?? kNone;
+    return this._ready.get(service) ?? kNoRecords;
   }
 
   /**
-   * A number for the records of each zone, the same in two daemons that hold the same ones: thus they compare what they know in some
-   * bytes instead of 180 a host. Hosts that said that they are gone don't count, as some daemons forget them sooner; what is only presumed
-   * here changes nothing, or this daemon would differ from all others for good.
+   * Digest of the records of each zone, by which two daemons compare their records. Excludes hosts that announced `gone`, as daemons remove
+   * them at different times. Ignores presumed states, which are local to this daemon.
    */
   get digests(): Readonly<Record<string, number>> {
     return Object.fromEntries(this._digests);
   }
 
-  /** Targets of a service that take no connections now, and may again. */
-  unreachable(service: string): number {
+  /** Returns the number of targets of a service that currently accept no connections. */
+  unreachableCount(service: string): number {
     return this.all().filter((record) => record.service === service && record.state === 'unreachable').length;
   }
 
-  /** Whether any host's record names the service. */
-  knows(service: string): boolean {
+  /** Whether the record of any host names the service. */
+  hasService(service: string): boolean {
     return this.all().some((record) => record.service === service);
   }
 
-  private _put(record: TargetRecord, known: TargetRecord | undefined): void {
+  private _store(record: TargetRecord, known: TargetRecord | undefined): void {
     this._records.set(record.host, record);
     if (known === undefined || (known.state === 'gone') !== (record.state === 'gone')) {
       this._membersRevision++;
     }
     if (known?.state === 'ready' && record.state === 'ready' && known.service === record.service) {
-      this._replace(known, record);
+      this._replaceReady(known, record);
       return;
     }
     if (known) {
-      this._unlist(known);
+      this._removeReady(known);
     }
     if (record.state === 'ready') {
       this._ready.set(record.service, [...this.ready(record.service), record]);
     }
   }
 
-  private _count({ host, zone, state, epoch, revision }: TargetRecord): void {
-    this._discount(host);
+  private _addToDigest({ host, zone, state, epoch, revision }: TargetRecord): void {
+    this._removeFromDigest(host);
     if (state !== 'gone') {
       const hash = hashText(`${host}\0${epoch}\0${revision}`);
-      this._counted.set(host, { zone, hash });
-      this._toggle(zone, hash);
+      this._digested.set(host, { zone, hash });
+      this._toggleInDigest(zone, hash);
     }
   }
 
-  private _discount(host: string): void {
-    const counted = this._counted.get(host);
-    if (counted) {
-      this._counted.delete(host);
-      this._toggle(counted.zone, counted.hash);
+  private _removeFromDigest(host: string): void {
+    const digested = this._digested.get(host);
+    if (digested) {
+      this._digested.delete(host);
+      this._toggleInDigest(digested.zone, digested.hash);
     }
   }
 
-  /** Exclusive or: what is toggled twice is out again. */
-  private _toggle(zone: string, hash: number): void {
+  /** Adds a hash to the digest of a zone, or removes it, by exclusive or. */
+  private _toggleInDigest(zone: string, hash: number): void {
     this._digests.set(zone, ((this._digests.get(zone) ?? 0) ^ hash) >>> 0);
   }
 
-  private _replace(known: TargetRecord, record: TargetRecord): void {
+  private _replaceReady(known: TargetRecord, record: TargetRecord): void {
     const list = this.ready(record.service).map((listed) => (listed.host === known.host ? record : listed));
     this._ready.set(record.service, list);
   }
 
-  private _unlist({ host, service, state }: TargetRecord): void {
+  private _removeReady({ host, service, state }: TargetRecord): void {
     if (state === 'ready') {
       const list = this.ready(service).filter((listed) => listed.host !== host);
       this._ready.set(service, list);
--- a/packages/core/src/routing/placement.ts
+++ b/packages/core/src/routing/placement.ts
@@ -4,86 +4,82 @@
  */
 
 /**
- * Chooses the target of a call by the time that the caller would wait for it, with charges in milliseconds for what else it
- * costs: bytes that leave the zone, a target that is nearly full, and the same for the calls that the run itself will make.
- *
- * The charge of the calls below makes work leave a full zone at the top of its chain, where one crossing carries all of it.
+ * Chooses the target of a call by its expected duration plus charges, in milliseconds, for traffic between zones, for a nearly full
+ * target, and for the downstream calls of the run. The charge for downstream calls moves work out of a full zone at the top of its call
+ * chain, where a single call crosses zones.
  */
 
 import type { TargetRecord } from '../membership/targetRecord.js';
 import { monotonicMs } from '../util/clock.js';
 import { RendezvousRank } from '../util/rendezvous.js';
-import { FadingMeans } from './fadingMeans.js';
-import { HostStats, kChargeHalfLifeMs, kMaxChainChargeMs, type PlacedEnd } from './hostStats.js';
-import { Means } from './means.js';
+import { DecayingAverages } from './decayingAverages.js';
+import { HostStats, kChargeHalfLifeMs, kMaxChainChargeMs, type PlacedCallResult } from './hostStats.js';
+import { MovingAverages } from './movingAverages.js';
 import { subsetFor, type TargetSubset } from './targetSubset.js';
 
 /**
- * Charge for another zone, in milliseconds for each KiB of a call and its answer: bytes between zones cost money, so a call
- * leaves its zone only when it gains more than this. At most a share of the latency target, which people count on.
+ * Charge for traffic between zones, in milliseconds for each KiB of a request and its response, and its upper bound as a share of the
+ * latency target.
  */
 const kZoneChargePerKib = 150;
-const kMaxZoneCharge = 0.4;
-/** KiB of a call and its answer that are assumed until one ended, and what comes with every call: names, ids, times. */
+const kMaxZoneChargeShare = 0.4;
+/** Assumed size of a call before the first result, and the size of the metadata of each call, in KiB. */
 const kAssumedKib = 1;
-const kHeadKib = 0.16;
+const kHeaderKib = 0.16;
 /**
- * Loads between which the charge for a busy target grows, up to a multiple of the charge for another zone: a full target is left
- * for one that has room, and not for one that is nearly as full.
+ * Loads between which the charge for a busy target grows linearly, and its maximum as a multiple of the charge for another zone. A full
+ * target loses to one with free capacity, but not to one that is nearly as full.
  */
-const kEasyLoad = 0.85;
+const kBusyLoad = 0.85;
 const kFullLoad = 1.15;
-const kFullCharge = 1.5;
-/** Weight of the charge of the calls below in another zone: a chain that is about as dear there stays where it is. */
-const kFarChainWeight = 2;
-/** Time for a round trip between zones, in milliseconds; of the order of what deployments report. */
+const kFullLoadChargeFactor = 1.5;
+/** Weight of the charge for downstream calls in another zone: a call chain moves there only if it costs clearly less. */
+const kOtherZoneChainWeight = 2;
+/** Assumed round-trip time between zones, in milliseconds. */
 const kZoneRoundTripMs = 3;
 /**
- * Share of failures that is not charged, as chains fail for reasons further down too, and the multiple of the mean time per call
- * that is charged for a share of one above that.
+ * Failure rate that is not charged, as calls also fail because of downstream targets, and the charge for the rate above it, as a multiple
+ * of the mean call duration.
  */
-const kUsualFailures = 0.1;
-const kFailureCharge = 20;
-/** Time per call that is assumed until one ended, in milliseconds. */
-const kAssumedMs = 20;
-/** Share of the mean time that is charged for a load of one, so that of equal targets the emptier one is taken. */
-const kLoadTie = 0.5;
+const kToleratedFailureRate = 0.1;
+const kFailureChargeFactor = 20;
+/** Assumed duration of a call before the first result, in milliseconds. */
+const kAssumedCallMs = 20;
+/** Share of the mean call duration that is charged for a load of one, so that the less loaded of two equal targets wins. */
+const kLoadTieBreakFactor = 0.5;
 /**
- * Targets beyond the usual ones that are compared when those are full or can't be reached, drawn anew for each call: ingresses whose
- * usual targets are full together don't all go to the same next one.
+ * Fallback targets that are compared when the primary ones are full or unreachable. They are sampled for each call, so that ingresses with
+ * full primary targets do not all switch to the same one.
  */
-const kFurtherSize = 6;
-/** Charge for a target that can't be reached, in milliseconds: above all others. */
-const kAvoidChargeMs = 1e6;
-/**
- * Comparisons in a row that a target of the own zone loses before that is worth a line in the log: of the eight or so usual ones an
- * ordinary target wins one in eight, so an engineer who asks why a host gets no work finds only those that something is held against.
- */
-const kPassedOver = 100;
+const kFallbackSampleSize = 6;
+/** Charge for an unreachable target, in milliseconds; larger than any other charge. */
+const kUnreachableChargeMs = 1e6;
+/** Consecutive comparisons without being chosen after which a target of the local zone is reported. */
+const kUnchosenComparisons = 100;
 
-/** A target of the own zone that lost many comparisons in a row, and what was held against it. */
-export interface PassedOver {
+/** A target of the local zone that is compared repeatedly but never chosen, with the values that decide its score. */
+export interface UnchosenTarget {
   host: string;
   comparisons: number;
-  /** Mean times of its calls by their routes, in milliseconds, and those over all hosts. */
+  /** Mean call durations by route, in milliseconds, of this host and over all hosts. */
   meanMs: Record<string, number>;
   usualMs: Record<string, number>;
-  /** Share of its calls that failed. */
+  /** Failure rate of its calls. */
   failures: number;
-  /** How much longer it is taken for unreachable, in milliseconds. */
+  /** Remaining time for which it is deprioritized as unreachable, in milliseconds. */
   avoidedMs: number;
-  /** Calls on it and on the way to it, for each that it may run at once. */
+  /** Calls at the target and in transit to it, divided by the number that it runs concurrently. */
   load: number;
 }
 
-/** What a choice needs of a route. */
+/** The route data that a choice needs. */
 export interface PlacedRoute {
   name: string;
   latencyTargetMs: number;
 }
 
-/** What all comparisons of one choice share. */
-interface Comparison {
+/** Inputs that are the same for all candidates of one choice. */
+interface ComparisonContext {
   route: PlacedRoute;
   excluded: ReadonlySet<string>;
   now: number;
@@ -91,25 +87,25 @@
   chainWeight: number;
 }
 
-/** A candidate as it was compared. */
-interface Compared {
+/** A candidate and its score; the lowest score wins. */
+interface ScoredTarget {
   target: TargetRecord;
   score: number;
   chargeMs: number;
   load: number;
-  avoided: boolean;
+  unreachable: boolean;
 }
 
-/** Chooses targets, and remembers how they did. Times are kept by route: those of different routes can't be compared. */
+/** Chooses targets and keeps statistics about them. Durations are kept by route, as those of different routes are not comparable. */
 export class Placement {
   private readonly _stats = new Map<string, HostStats>();
-  /** Mean time of a call by its route over all hosts, in milliseconds: what a host is taken for until it has shown better. */
-  private readonly _routeMeanMs = new Means();
-  private readonly _routeKib = new Means();
-  /** Charges of the targets that calls of a route went to. */
-  private readonly _routeChargeMs = new FadingMeans(kChargeHalfLifeMs);
+  /** Mean call duration by route over all hosts, in milliseconds; assumed for a host without results. */
+  private readonly _routeMeanMs = new MovingAverages();
+  private readonly _routeKib = new MovingAverages();
+  /** Mean charge of the chosen targets, by route, in milliseconds. */
+  private readonly _routeChargeMs = new DecayingAverages(kChargeHalfLifeMs);
   private readonly _rank: RendezvousRank;
-  /** By the list of candidates, which is another one after each change of a record in it. */
+  /** Keyed by the list of candidates, which is replaced whenever one of its records changes. */
   private readonly _subsets = new WeakMap<readonly TargetRecord[], TargetSubset>();
 
   constructor(
@@ -121,93 +117,90 @@
   }
 
   /**
-   * The best candidate that is not excluded, among the usual ones of this ingress and, when those are full, some further ones. The
-   * cost of a choice does not grow with the service: 4 to 5 microseconds at 10, 100 and 500 targets (`bench:choice`, warm), where
-   * comparing them all took 6, 53 and 248.
+   * Returns the best candidate that is not excluded, among the primary ones and, when those are full or unreachable, a sample of the
+   * fallback ones. The cost does not grow with the number of candidates.
    */
   choose(candidates: readonly TargetRecord[], excluded: ReadonlySet<string>, route: PlacedRoute): TargetRecord | undefined {
     const now = monotonicMs();
-    const view: Comparison = {
+    const context: ComparisonContext = {
       route,
       excluded,
       now,
       zoneChargeMs: this._zoneChargeMs(route),
-      // Drawn once a choice: a charge that is just over the one for another zone moves some calls, and not all of them at once.
+      // A random weight for each choice moves calls to another zone gradually rather than all at once.
       chainWeight: 2 * this._random(),
     };
-    const { usual, further } = this._subsetOf(candidates);
-    let best = this._best(usual, view, undefined);
-    if (further.length > 0 && (best === undefined || best.load > kEasyLoad || best.avoided)) {
-      best = this._best(this._sampleOf(further), view, best);
+    const { primary, fallback } = this._subsetOf(candidates);
+    let best = this._lowestScore(primary, context, undefined);
+    if (fallback.length > 0 && (best === undefined || best.load > kBusyLoad || best.unreachable)) {
+      best = this._lowestScore(this._sampleFallback(fallback), context, best);
     }
     if (!best) {
       return undefined;
     }
-    this._routeChargeMs.renew(route.name, best.chargeMs, now);
-    this._of(best.target.host).passedOver = 0;
+    this._routeChargeMs.update(route.name, best.chargeMs, now);
+    this._statsOf(best.target.host).comparisonsSinceChosen = 0;
     return best.target;
   }
 
-  /** Mean charge of the targets that calls of a route went to lately, in milliseconds; it fades when there are none. */
+  /** Exponentially decaying mean charge of the targets chosen for a route, in milliseconds. */
   chargeMs(route: string): number {
-    return Math.min(kMaxChainChargeMs, this._routeChargeMs.at(route, monotonicMs()));
+    return Math.min(kMaxChainChargeMs, this._routeChargeMs.valueAt(route, monotonicMs()));
   }
 
-  /** Targets of the own zone among `candidates` that are compared again and again and never chosen, with the reasons. */
-  passedOver(candidates: readonly TargetRecord[]): PassedOver[] {
+  /** Returns the targets of the local zone that are compared repeatedly but never chosen. */
+  unchosenTargets(candidates: readonly TargetRecord[]): UnchosenTarget[] {
     const now = monotonicMs();
     return candidates.flatMap((target) => {
       const stats = this._stats.get(target.host);
-      return stats && stats.passedOver >= kPassedOver ? [this._whyPassedOver(target, stats, now)] : [];
+      return stats && stats.comparisonsSinceChosen >= kUnchosenComparisons ? [this._explainUnchosen(target, stats, now)] : [];
     });
   }
 
-  /** Notes that a call was sent to a host. */
-  sent(host: string): void {
-    this._of(host).sent();
+  recordSent(host: string): void {
+    this._statsOf(host).recordSent();
   }
 
-  /** Notes the end of a call. */
-  ended(host: string, route: string, end: PlacedEnd): void {
-    if (end.bytes !== undefined) {
-      this._routeKib.renew(route, end.bytes / 1_024 + kHeadKib);
+  recordResult(host: string, route: string, result: PlacedCallResult): void {
+    if (result.bytes !== undefined) {
+      this._routeKib.update(route, result.bytes / 1_024 + kHeaderKib);
     }
-    this._of(host).ended(route, end, this._usualMs(route), monotonicMs());
-    if (end.tookMs !== undefined) {
-      this._routeMeanMs.renew(route, end.tookMs);
+    this._statsOf(host).recordResult(route, result, this._usualMs(route), monotonicMs());
+    if (result.tookMs !== undefined) {
+      this._routeMeanMs.update(route, result.tookMs);
     }
   }
 
-  /** Passes a host over for a while: it could not be reached. */
-  avoid(host: string): void {
-    this._of(host).avoid(monotonicMs());
+  /** Deprioritizes a host for a limited time after it could not be reached. */
+  markUnreachable(host: string): void {
+    this._statsOf(host).markUnreachable(monotonicMs());
   }
 
-  /** Ends the avoidance of a host: it was heard of again. */
-  reached(host: string): void {
-    this._of(host).reached();
+  /** Stops deprioritizing a host. */
+  markReachable(host: string): void {
+    this._statsOf(host).markReachable();
   }
 
-  /** Starts afresh with a host whose target is a new one. */
-  forget(host: string): void {
+  /** Discards the statistics of a host whose target was replaced. */
+  resetHost(host: string): void {
     this._stats.delete(host);
   }
 
-  private _whyPassedOver(target: TargetRecord, stats: HostStats, now: number): PassedOver {
+  private _explainUnchosen(target: TargetRecord, stats: HostStats, now: number): UnchosenTarget {
     const { routes } = stats;
     return {
       host: target.host,
-      comparisons: stats.passedOver,
+      comparisons: stats.comparisonsSinceChosen,
       meanMs: Object.fromEntries(routes.map((route) => [route, Math.round(stats.meanMs(route, this._usualMs(route), now))])),
       usualMs: Object.fromEntries(routes.map((route) => [route, Math.round(this._usualMs(route))])),
-      failures: stats.failures(now),
-      avoidedMs: Math.round(stats.avoidedMs(now)),
+      failures: stats.failureRate(now),
+      avoidedMs: Math.round(stats.remainingBackoffMs(now)),
       load: stats.load(target, now),
     };
   }
 
   private _zoneChargeMs({ name, latencyTargetMs }: PlacedRoute): number {
-    return Math.min(kMaxZoneCharge * latencyTargetMs, this._kibOf(name) * kZoneChargePerKib) + kZoneRoundTripMs;
+    return Math.min(kMaxZoneChargeShare * latencyTargetMs, this._kibOf(name) * kZoneChargePerKib) + kZoneRoundTripMs;
   }
 
   private _subsetOf(candidates: readonly TargetRecord[]): TargetSubset {
@@ -219,65 +212,73 @@
     return subset;
   }
 
-  /** Half of the sample comes from the front, where the own zone is, as long as that has any. */
-  private _sampleOf(further: readonly TargetRecord[]): TargetRecord[] {
-    if (further.length <= kFurtherSize) {
-      return [...further];
+  /** Takes up to half of the sample from the local zone, whose targets come first in the list. */
+  private _sampleFallback(fallback: readonly TargetRecord[]): TargetRecord[] {
+    if (fallback.length <= kFallbackSampleSize) {
+      return [...fallback];
     }
-    const firstFar = further.findIndex(({ zone }) => zone !== this._zone);
-    const nearCount = firstFar < 0 ? further.length : firstFar;
-    const near = Math.min(nearCount, kFurtherSize / 2);
-    return [...this._draw(further, 0, nearCount, near), ...this._draw(further, 0, further.length, kFurtherSize - near)];
+    const firstOtherZone = fallback.findIndex(({ zone }) => zone !== this._zone);
+    const ownZoneCount = firstOtherZone < 0 ? fallback.length : firstOtherZone;
+    const ownZoneDraws = Math.min(ownZoneCount, kFallbackSampleSize / 2);
+    return [
+      ...this._drawRun(fallback, 0, ownZoneCount, ownZoneDraws),
+      ...this._drawRun(fallback, 0, fallback.length, kFallbackSampleSize - ownZoneDraws),
+    ];
   }
 
-  /** `count` neighbours from a random place between two indices, around the end. */
-  private _draw(list: readonly TargetRecord[], from: number, to: number, count: number): TargetRecord[] {
+  /** Returns `count` consecutive items from a random start in the range, wrapping around at its end. */
+  private _drawRun(list: readonly TargetRecord[], from: number, to: number, count: number): TargetRecord[] {
     const start = Math.floor(this._random() * (to - from));
     return Array.from({ length: count }, (_, i) => list[from + ((start + i) % (to - from))]).filter((target) => target !== undefined);
   }
 
-  private _best(targets: readonly TargetRecord[], view: Comparison, before: Compared | undefined): Compared | undefined {
-    let best = before;
+  private _lowestScore(
+    targets: readonly TargetRecord[],
+    context: ComparisonContext,
+    initial: ScoredTarget | undefined,
+  ): ScoredTarget | undefined {
+    let best = initial;
     for (const target of targets) {
-      if (!view.excluded.has(target.host)) {
-        const compared = this._compare(target, view);
-        best = best === undefined || compared.score < best.score ? compared : best;
+      if (!context.excluded.has(target.host)) {
+        const scored = this._score(target, context);
+        best = best === undefined || scored.score < best.score ? scored : best;
       }
     }
     return best;
   }
 
-  private _compare(target: TargetRecord, { route, now, zoneChargeMs, chainWeight }: Comparison): Compared {
-    const stats = this._of(target.host);
+  private _score(target: TargetRecord, { route, now, zoneChargeMs, chainWeight }: ComparisonContext): ScoredTarget {
+    const stats = this._statsOf(target.host);
     const load = stats.load(target, now);
     const chainMs = stats.chargeMs(route.name, now);
-    const far = target.zone !== this._zone;
-    stats.passedOver += far ? 0 : 1;
-    const ownMs = (far ? zoneChargeMs : 0) + fullness(load) * kFullCharge * zoneChargeMs;
-    const weighedMs = chainMs * chainWeight * (far ? kFarChainWeight : 1);
-    const avoided = stats.avoidedMs(now) > 0;
-    const score = this._timeOf(stats, route, load, now) + ownMs + weighedMs + (avoided ? kAvoidChargeMs : 0) + this._random();
-    return { target, score, chargeMs: ownMs + chainMs, load, avoided };
+    const inOtherZone = target.zone !== this._zone;
+    stats.comparisonsSinceChosen += inOtherZone ? 0 : 1;
+    const directChargeMs = (inOtherZone ? zoneChargeMs : 0) + congestionOf(load) * kFullLoadChargeFactor * zoneChargeMs;
+    const chainChargeMs = chainMs * chainWeight * (inOtherZone ? kOtherZoneChainWeight : 1);
+    const unreachable = stats.remainingBackoffMs(now) > 0;
+    const score =
+      this._timeScore(stats, route, load, now) + directChargeMs + chainChargeMs + (unreachable ? kUnreachableChargeMs : 0) + this._random();
+    return { target, score, chargeMs: directChargeMs + chainMs, load, unreachable };
   }
 
   private _kibOf(route: string): number {
-    return this._routeKib.of(route) ?? kAssumedKib;
+    return this._routeKib.get(route) ?? kAssumedKib;
   }
 
-  /** What a host is taken for that has not shown otherwise, in milliseconds. */
+  /** Mean call duration on a route over all hosts, in milliseconds. */
   private _usualMs(route: string): number {
-    return this._routeMeanMs.of(route) ?? kAssumedMs;
+    return this._routeMeanMs.get(route) ?? kAssumedCallMs;
   }
 
-  /** Time of a call, weighed by what it takes of the latency target; load breaks ties between equal targets. */
-  private _timeOf(stats: HostStats, { name: route, latencyTargetMs }: PlacedRoute, load: number, now: number): number {
+  /** Mean call duration, weighted by its share of the latency target, plus charges for load and failures. */
+  private _timeScore(stats: HostStats, { name: route, latencyTargetMs }: PlacedRoute, load: number, now: number): number {
     const mean = stats.meanMs(route, this._usualMs(route), now);
     const weighed = mean * Math.min(1, mean / latencyTargetMs);
-    const failures = Math.max(0, stats.failures(now) - kUsualFailures);
-    return weighed + mean * (load * kLoadTie + failures * kFailureCharge);
+    const failures = Math.max(0, stats.failureRate(now) - kToleratedFailureRate);
+    return weighed + mean * (load * kLoadTieBreakFactor + failures * kFailureChargeFactor);
   }
 
-  private _of(host: string): HostStats {
+  private _statsOf(host: string): HostStats {
     let stats = this._stats.get(host);
     if (!stats) {
       stats = new HostStats();
@@ -287,7 +288,7 @@
   }
 }
 
-/** How full a target is, from 0 at an easy load to 1. */
-function fullness(load: number): number {
-  return Math.min(1, Math.max(0, (load - kEasyLoad) / (kFullLoad - kEasyLoad)));
+/** Maps a load to a value from 0 (up to kBusyLoad) to 1 (from kFullLoad). */
+function congestionOf(load: number): number {
+  return Math.min(1, Math.max(0, (load - kBusyLoad) / (kFullLoad - kBusyLoad)));
 }
--- a/tests/membership/view.spec.ts
+++ b/tests/membership/view.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { kSuspicionMs, type Member, MemberView, seededRandom } from '@gentiandrum/core';
+import { kSuspicionTimeoutMs, type Member, MemberView, seededRandom } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 function member(id: string, more: Partial<Member> = {}): Member {
@@ -18,12 +18,12 @@
 }
 
 describe('a membership view', () => {
-  it('should suspect before it declares dead', (t) => {
+  it('should suspect a daemon before it marks it dead', (t) => {
     const seen = view('a', ['b']);
     seen.suspect('b', 0);
-    seen.tick(kSuspicionMs - 1);
+    seen.tick(kSuspicionTimeoutMs - 1);
     t.is(seen.get('b')?.state, 'suspect');
-    seen.tick(kSuspicionMs);
+    seen.tick(kSuspicionTimeoutMs);
     t.is(seen.get('b')?.state, 'dead');
   });
 
@@ -38,53 +38,53 @@
     t.is(other.get('a')?.state, 'alive');
   });
 
-  it('should take a later incarnation at the same address for the living one, and no earlier word about it', (t) => {
+  it('should accept a later incarnation, and reject records of the earlier one', (t) => {
     const seen = view('a', ['b']);
     seen.merge(member('b', { incarnation: 2 }), 0);
     t.false(seen.merge(member('b', { state: 'dead', revision: 9 }), 0));
     t.is(seen.get('b')?.incarnation, 2);
   });
 
-  it('should agree with others on who keeps the last record of one that leaves', (t) => {
+  it('should agree with other daemons on the holders of the last record of a leaving daemon', (t) => {
     const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
-    const keepers = (of: string, at: string): string[] =>
+    const holders = (of: string, at: string): string[] =>
       view(
         at,
         ids.filter((id) => id !== at),
       )
-        .keepersOf(of)
+        .recordHoldersOf(of)
         .map(({ id }) => id);
-    const told = keepers('a', 'a');
-    t.is(told.length, 3);
+    const sentTo = holders('a', 'a');
+    t.is(sentTo.length, 3);
     for (const sender of ids.slice(1)) {
-      const asked = keepers('a', sender);
-      t.is(asked.length, 3);
+      const requestedFrom = holders('a', sender);
+      t.is(requestedFrom.length, 3);
       t.deepEqual(
-        told.filter((id) => id !== sender),
-        asked.filter((id) => told.includes(id)),
+        sentTo.filter((id) => id !== sender),
+        requestedFrom.filter((id) => sentTo.includes(id)),
       );
     }
   });
 
-  it('should let no suspicion ripen while the process was paused', (t) => {
+  it('should restart suspicion timeouts after the process was paused', (t) => {
     const seen = view('a', ['b']);
     seen.suspect('b', 0);
-    seen.resumed(60_000);
+    seen.restartSuspicionTimers(60_000);
     seen.tick(60_000);
     t.is(seen.get('b')?.state, 'suspect');
   });
 
-  it('should try the dead now and then, so that a healed cut is noticed', (t) => {
+  it('should probe dead daemons occasionally, to detect the end of a partition', (t) => {
     const seen = view('a', ['b', 'c']);
     seen.suspect('b', 0);
-    seen.tick(kSuspicionMs);
+    seen.tick(kSuspicionTimeoutMs);
     const probed = new Set(Array.from({ length: 200 }, () => seen.nextProbe()?.id));
     t.true(probed.has('b'));
-    seen.answered('b', 10_000);
+    seen.markAlive('b', 10_000);
     t.is(seen.get('b')?.state, 'alive');
   });
 
-  it('should pass each change on a bounded number of times', (t) => {
+  it('should send each change a bounded number of times', (t) => {
     const seen = view('a', ['b', 'c', 'd']);
     let sent = 0;
     for (let i = 0; i < 100; i++) {
@@ -93,7 +93,7 @@
     t.true(sent > 0 && sent <= 4 * 9, String(sent));
   });
 
-  it('should spread a change to all of 490 within a few rounds', (t) => {
+  it('should spread a change to 490 daemons within a few rounds', (t) => {
     const random = seededRandom(9);
     const ids = Array.from({ length: 490 }, (_, i) => `d${i}`);
     const views = ids.map((id) => {
--- a/tests/routing/routeRequest.spec.ts
+++ b/tests/routing/routeRequest.spec.ts
@@ -17,7 +17,7 @@
   return { host, zone: 'z', peers: '', service: 's', instance: `i-${host}`, state: 'ready', slots: 1, epoch: 1, revision: 1 };
 }
 
-function play(idempotent: boolean, maxAttempts: number, ends: readonly CallEnd[]): { offers: Offer[]; end: RouteEnd } {
+function runRoute(idempotent: boolean, maxAttempts: number, ends: readonly CallEnd[]): { offers: Offer[]; end: RouteEnd } {
   const hosts = ['a', 'b', 'c', 'd', 'e'].map(record);
   const procedure = routeRequest(
     { idempotent, maxAttempts },
@@ -39,23 +39,23 @@
 }
 
 describe('routing procedure', () => {
-  it('should never send twice what may have run and must not repeat', (t) => {
+  it('should not repeat a non-idempotent request that may have run', (t) => {
     for (const first of [kAnswered, kFailed, kLost]) {
-      const { offers, end } = play(false, 3, [first, kAnswered]);
+      const { offers, end } = runRoute(false, 3, [first, kAnswered]);
       t.is(offers.length, 1);
       t.is(end, first);
     }
   });
 
-  it('should go on after a proof that nothing ran', (t) => {
+  it('should try another target when the request provably did not run', (t) => {
     for (const first of [kRefused, kShed]) {
-      t.is(play(false, 3, [first, kAnswered]).end, kAnswered);
+      t.is(runRoute(false, 3, [first, kAnswered]).end, kAnswered);
     }
   });
 
-  it('should repeat what may be repeated, on another target', (t) => {
+  it('should repeat an idempotent request on another target', (t) => {
     for (const first of [kFailed, kLost]) {
-      const { offers, end } = play(true, 2, [first, kAnswered]);
+      const { offers, end } = runRoute(true, 2, [first, kAnswered]);
       t.is(end, kAnswered);
       t.deepEqual(
         offers.map(({ target, repeat }) => [target.host, repeat]),
@@ -67,7 +67,7 @@
     }
   });
 
-  it('should say "not run" only when no offer can have run, and keep to the attempts', (t) => {
+  it('should report "not run" only when no offer may have run, and respect the maximum number of attempts', (t) => {
     const anyEnd = fc.constantFrom(kAnswered, kFailed, kLost, kRefused, kShed);
     fc.assert(
       fc.property(
@@ -75,7 +75,7 @@
         fc.integer({ min: 1, max: 3 }),
         fc.array(anyEnd, { minLength: 5, maxLength: 5 }),
         (idempotent, maxAttempts, ends) => {
-          const { offers, end } = play(idempotent, maxAttempts, ends);
+          const { offers, end } = runRoute(idempotent, maxAttempts, ends);
           const got = ends.slice(0, offers.length);
           const ran = got.filter(({ kind }) => kind !== 'not_run').length;
           return (end.kind !== 'not_run' || ran === 0) && ran <= (idempotent ? maxAttempts : 1);
@@ -85,7 +85,7 @@
     t.pass();
   });
 
-  it('should give the answer of a failing target when nobody else takes the repeat', (t) => {
-    t.is(play(true, 2, [kFailed, kRefused, kRefused, kRefused, kRefused]).end, kFailed);
+  it('should return the response of a failing target when no other target accepts the repeat', (t) => {
+    t.is(runRoute(true, 2, [kFailed, kRefused, kRefused, kRefused, kRefused]).end, kFailed);
   });
 });
