--- a/packages/cli/src/client/configCommands.ts
+++ b/packages/cli/src/client/configCommands.ts
@@ -9,7 +9,7 @@
 import { readFileSync } from 'node:fs';
 import { userInfo } from 'node:os';
 import { mergePatch } from '@gentiandrum/core';
-import { configSchema, meshConfigSchema, type PatchRequest, workspaceFaults } from '@gentiandrum/protocol';
+import { configSchema, meshConfigSchema, type PatchRequest, findWorkspaceIssues } from '@gentiandrum/protocol';
 import { parse, stringify } from 'yaml';
 import { DaemonClient, type DaemonError, errorText } from './daemonClient.js';
 import { CommandError, kExit, printJson, printLine, printTable } from './output.js';
@@ -219,7 +219,7 @@
     return issuesFrom(configSchema.safeParse(config));
   }
   const checked = meshConfigSchema.safeParse(config);
-  return checked.success ? workspaceFaults(checked.data) : issuesFrom(checked);
+  return checked.success ? findWorkspaceIssues(checked.data) : issuesFrom(checked);
 }
 
 function issuesFrom({ error }: { error?: { issues: readonly { path: readonly PropertyKey[]; message: string }[] } | undefined }): string[] {
--- a/packages/core/src/procedures/serveCall.ts
+++ b/packages/core/src/procedures/serveCall.ts
@@ -5,7 +5,7 @@
 
 /** Serves a call at the daemon where it came in: from a caller, or from the target on this host. */
 
-import { kMaxDepth } from '@gentiandrum/protocol';
+import { kMaxChainDepth } from '@gentiandrum/protocol';
 import { kAllOpen } from '../admission/levelReport.js';
 import { rankOf } from '../admission/rank.js';
 import { answerOf, type ErrorKind } from '../errors/errorKind.js';
@@ -57,7 +57,7 @@
 function refuseEarly(call: Call, ctx: ServeContext): ErrorKind | undefined {
   const now = monotonicMs();
   const { chain, cls } = call;
-  if (chain.depth > kMaxDepth) {
+  if (chain.depth > kMaxChainDepth) {
     return 'chain_too_deep';
   }
   if (now >= call.deadline) {
--- a/packages/daemon/src/app/callService.ts
+++ b/packages/daemon/src/app/callService.ts
@@ -34,7 +34,7 @@
   answerOf,
   wallMs,
 } from '@gentiandrum/core';
-import { type Config, kMaxDepth } from '@gentiandrum/protocol';
+import { type Config, kMaxChainDepth } from '@gentiandrum/protocol';
 import type { ChainToken } from '@gentiandrum/protocol/peers';
 import type { PeerClient } from '../client/peerClient.js';
 import { CallSession, type SessionDeps } from './callSession.js';
@@ -191,7 +191,7 @@
       return 'overloaded';
     }
     const chain = this._placeInChain(id, cls, req);
-    if (chain.depth > kMaxDepth) {
+    if (chain.depth > kMaxChainDepth) {
       return 'chain_too_deep';
     }
     const parsed = parseKey(req.key);
--- a/packages/daemon/src/app/claimService.ts
+++ b/packages/daemon/src/app/claimService.ts
@@ -6,7 +6,7 @@
 /** Claims streams: indexes of the shards that this daemon has to do with, and the daemon that batches for each shard. */
 
 import { type AppendEnd, claimInLog, type ClaimedInLog, ClaimIndex, type MemberView, type ReadEnd, runProcedure } from '@gentiandrum/core';
-import { type ClaimRecord, claimStream } from '@gentiandrum/protocol';
+import { type ClaimRecord, claimStreamName } from '@gentiandrum/protocol';
 import { GroupAppender } from '../client/groupAppender.js';
 import type { LogClient } from '../client/logClient.js';
 import { StreamTail } from '../client/streamTail.js';
@@ -64,7 +64,7 @@
     let shard = this._shards.get(number);
     if (!shard) {
       const index = new ClaimIndex(this._limits.claimsPerShard);
-      const stream = claimStream(number);
+      const stream = claimStreamName(number);
       shard = {
         index,
         tail: new StreamTail(this._log, stream, index),
--- a/packages/daemon/src/client/logClient.ts
+++ b/packages/daemon/src/client/logClient.ts
@@ -6,7 +6,7 @@
 /** The platform's append-only log over HTTP, see docs/LOG-INTERFACE.md. */
 
 import type { AppendEnd } from '@gentiandrum/core';
-import { appendReplySchema, type ReadReply, readReplySchema } from '@gentiandrum/protocol';
+import { appendResponseSchema, type ReadResponse, readResponseSchema } from '@gentiandrum/protocol';
 import { exchange, type ExchangeEnd } from './httpExchange.js';
 import type { Pools } from './pools.js';
 
@@ -37,7 +37,7 @@
     const end = await this._send('POST', `/streams/${stream}/records`, body, kAppendTimeoutMs);
     this.traffic.appends++;
     if (end.kind === 'answered' && end.status === 200) {
-      const reply = appendReplySchema.safeParse(parseJson(end.body));
+      const reply = appendResponseSchema.safeParse(parseJson(end.body));
       return reply.success ? { kind: 'appended', offset: reply.data.offset } : { kind: 'lost' };
     }
     const tookNothing = (end.kind === 'answered' && end.status === 503) || (end.kind === 'lost' && !end.written);
@@ -45,14 +45,14 @@
   }
 
   /** Reads records from an offset, waiting up to `waitMs` for the first; undefined when the log doesn't answer. */
-  async read(stream: string, from: number, waitMs = 0): Promise<ReadReply | undefined> {
+  async read(stream: string, from: number, waitMs = 0): Promise<ReadResponse | undefined> {
     const path = `/streams/${stream}/records?from=${from}&wait_ms=${waitMs}&limit=${kPageSize}`;
     const end = await this._send('GET', path, Buffer.alloc(0), kReadTimeoutMs + waitMs);
     this.traffic.reads++;
     if (end.kind !== 'answered' || end.status !== 200) {
       return undefined;
     }
-    const reply = readReplySchema.safeParse(parseJson(end.body));
+    const reply = readResponseSchema.safeParse(parseJson(end.body));
     return reply.success ? reply.data : undefined;
   }
 
--- a/packages/daemon/src/server/problem.ts
+++ b/packages/daemon/src/server/problem.ts
@@ -6,7 +6,7 @@
 /** Answers to callers: whole answers of targets, and errors as problem+json (RFC 9457) from the one table. */
 
 import { answerOf, type Answer, type ErrorKind, type Served } from '@gentiandrum/core';
-import { kOutcomeHeader, kProblemType, kRequestIdHeader } from '@gentiandrum/protocol';
+import { kOutcomeHeader, kProblemMediaType, kRequestIdHeader } from '@gentiandrum/protocol';
 import type { FastifyReply } from 'fastify';
 
 /** Callers that are told to come back do so spread over this time, in seconds. */
@@ -75,7 +75,7 @@
   }
   void reply
     .header(kOutcomeHeader, outcome)
-    .header('content-type', kProblemType)
+    .header('content-type', kProblemMediaType)
     .code(status)
     .send(Buffer.from(JSON.stringify(problem)));
 }
--- a/packages/daemon/src/server/problemFilter.ts
+++ b/packages/daemon/src/server/problemFilter.ts
@@ -7,7 +7,7 @@
 
 import { type ArgumentsHost, Catch, type ExceptionFilter, HttpException } from '@nestjs/common';
 import { answerOf } from '@gentiandrum/core';
-import { kProblemType } from '@gentiandrum/protocol';
+import { kProblemMediaType } from '@gentiandrum/protocol';
 import type { FastifyReply } from 'fastify';
 
 const kServerError = 500;
@@ -19,7 +19,7 @@
     const reply = host.switchToHttp().getResponse<FastifyReply>();
     const status = err instanceof HttpException ? err.getStatus() : kServerError;
     void reply
-      .header('content-type', kProblemType)
+      .header('content-type', kProblemMediaType)
       .code(status)
       .send(Buffer.from(JSON.stringify(bodyOf(err, status))));
   }
--- a/packages/mesh/src/app/log/configHolder.ts
+++ b/packages/mesh/src/app/log/configHolder.ts
@@ -6,7 +6,7 @@
 /** The configuration in force at one daemon: checked, never older than the one before, and passed on to other daemons. */
 
 import { monotonicMs, RouteTable, type RoutingTables, WorkspaceTable } from '@gentiandrum/core';
-import { type MeshConfig, meshConfigSchema, workspaceFaults } from '@gentiandrum/protocol';
+import { type MeshConfig, meshConfigSchema, findWorkspaceIssues } from '@gentiandrum/protocol';
 import type { EventLog } from '../eventLog.js';
 
 /** Time that a newer version gets to come from its source before a daemon that has it is asked, in milliseconds. */
@@ -71,7 +71,7 @@
     this._config = checked.data;
     this._tables = { version: cfg.version, routes: new RouteTable(checked.data), workspaces: new WorkspaceTable(checked.data) };
     this._maxConnections = new Map(checked.data.services.map(({ name, maxConnections }) => [name, maxConnections]));
-    const faults = workspaceFaults(checked.data).slice(0, kNamedFaults);
+    const faults = findWorkspaceIssues(checked.data).slice(0, kNamedFaults);
     if (faults.length > 0) {
       this._events.warn('config', `Version ${cfg.version} has faults that this daemon can live with.`, { faults });
     }
--- a/packages/protocol/src/apiSchemas.ts
+++ b/packages/protocol/src/apiSchemas.ts
@@ -24,7 +24,7 @@
 /** Header of the daemon-to-daemon answer. */
 export const kVerdictHeader = 'gentiandrum-verdict';
 /** Media type of error answers, RFC 9457. */
-export const kProblemType = 'application/problem+json';
+export const kProblemMediaType = 'application/problem+json';
 
 /** A target's announcement to the daemon on its host; repeated at least every few seconds. */
 export const announcementSchema = z.strictObject({
--- a/packages/protocol/src/configSchema.ts
+++ b/packages/protocol/src/configSchema.ts
@@ -10,20 +10,20 @@
 import * as z from 'zod';
 
 /** Version of the rules below. Daemons refuse a configuration of a newer schema, so that all fold alike. */
-export const kConfigSchema = 1;
+export const kConfigSchemaVersion = 1;
 
 /** Importance of a request class, most important first. */
 export const kImportances = ['critical', 'high', 'normal', 'low'] as const;
 
 /** Longest chain that is served, in calls. */
-export const kMaxDepth = 64;
+export const kMaxChainDepth = 64;
 
 const nameSchema = z
   .string()
   .regex(/^[a-z0-9][a-z0-9._-]{0,62}$/, 'expected a lower-case name of at most 63 letters, digits, dots and dashes');
 
 /** One request class: which requests it takes, and how they are treated. */
-export const classSchema = z.strictObject({
+export const requestClassSchema = z.strictObject({
   service: nameSchema,
   /** HTTP methods; none means every method. */
   methods: z.array(z.string().regex(/^[A-Z]+$/, 'expected an upper-case HTTP method')).default([]),
@@ -45,8 +45,12 @@
 /** The whole configuration. Maps, not lists, so that a merge patch can address one entry. */
 export const configSchema = z
   .strictObject({
-    schema: z.int().min(1).max(kConfigSchema, `expected a schema of at most ${kConfigSchema}; upgrade the daemons first`).default(1),
-    classes: z.record(nameSchema, classSchema).default({}),
+    schema: z
+      .int()
+      .min(1)
+      .max(kConfigSchemaVersion, `expected a schema of at most ${kConfigSchemaVersion}; upgrade the daemons first`)
+      .default(1),
+    classes: z.record(nameSchema, requestClassSchema).default({}),
     services: z.record(nameSchema, z.strictObject({ description: z.string().max(200).default('') })).default({}),
     targets: z.record(nameSchema, targetIntakeSchema).default({}),
     overload: z.strictObject({ favour: z.enum(['goodput', 'recovery']).default('goodput') }).default({ favour: 'goodput' }),
@@ -75,7 +79,7 @@
 /** A checked configuration. */
 export type Config = z.infer<typeof configSchema>;
 /** A checked request class. */
-export type RequestClass = z.infer<typeof classSchema>;
+export type RequestClass = z.infer<typeof requestClassSchema>;
 /** Name of an importance. */
 export type Importance = (typeof kImportances)[number];
 /** What an operator has said of a target. */
--- a/packages/protocol/src/meshConfigSchema.ts
+++ b/packages/protocol/src/meshConfigSchema.ts
@@ -83,13 +83,13 @@
   })
   .superRefine((cfg, ctx) => {
     const services = new Set(cfg.services.map(({ name }) => name));
-    const places = new Set<string>();
+    const usedPrefixes = new Set<string>();
     for (const [i, route] of cfg.routes.entries()) {
-      const place = `${route.host}${route.prefix}`;
-      if (places.has(place)) {
-        ctx.addIssue({ code: 'custom', path: ['routes', i, 'prefix'], message: `expected one route for ${place}, got a second` });
+      const hostAndPrefix = `${route.host}${route.prefix}`;
+      if (usedPrefixes.has(hostAndPrefix)) {
+        ctx.addIssue({ code: 'custom', path: ['routes', i, 'prefix'], message: `expected one route for ${hostAndPrefix}, got a second` });
       }
-      places.add(place);
+      usedPrefixes.add(hostAndPrefix);
       for (const [k, { service }] of route.destinations.entries()) {
         if (!services.has(service)) {
           const message = `expected a service declared under services, got "${service}"`;
@@ -100,24 +100,24 @@
   });
 
 /** Faults of a configuration that daemons live with, as refusing all of it would serve nobody; for those who write it. */
-export function workspaceFaults(cfg: Pick<MeshConfig, 'workspaces'>): string[] {
-  const faults: string[] = [];
+export function findWorkspaceIssues(cfg: Pick<MeshConfig, 'workspaces'>): string[] {
+  const issues: string[] = [];
   const names = new Set<string>();
   const owners = new Map<string, string>();
   for (const [i, { name, keys }] of (cfg.workspaces ?? []).entries()) {
     if (names.has(name)) {
-      faults.push(`workspaces.${i}.name: expected one workspace named ${name}, got a second`);
+      issues.push(`workspaces.${i}.name: expected one workspace named ${name}, got a second`);
     }
     names.add(name);
     for (const [k, key] of keys.entries()) {
       const owner = owners.get(key);
       if (owner !== undefined && owner !== name) {
-        faults.push(`workspaces.${i}.keys.${k}: expected a key of one workspace, got one that ${owner} has too`);
+        issues.push(`workspaces.${i}.keys.${k}: expected a key of one workspace, got one that ${owner} has too`);
       }
       owners.set(key, owner ?? name);
     }
   }
-  return faults;
+  return issues;
 }
 
 /** A checked routing configuration. */
--- a/packages/protocol/src/recordSchemas.ts
+++ b/packages/protocol/src/recordSchemas.ts
@@ -17,7 +17,7 @@
 export const kMembersStream = 'gentiandrum.members';
 
 /** Name of the stream that orders the claims of one shard. */
-export function claimStream(shard: number): string {
+export function claimStreamName(shard: number): string {
   return `gentiandrum.claims.${shard}`;
 }
 
@@ -66,9 +66,9 @@
 export const claimBatchSchema = z.array(claimRecordSchema).min(1);
 
 /** Answer of the log to an append. */
-export const appendReplySchema = z.object({ offset: z.int().min(0) });
+export const appendResponseSchema = z.object({ offset: z.int().min(0) });
 /** Answer of the log to a read. */
-export const readReplySchema = z.object({
+export const readResponseSchema = z.object({
   records: z.array(z.object({ offset: z.int().min(0), value: z.unknown() })),
   next: z.int().min(0),
   oldest: z.int().min(0),
@@ -81,4 +81,4 @@
 /** Checked claim record. */
 export type ClaimRecord = z.infer<typeof claimRecordSchema>;
 /** Checked answer of the log to a read. */
-export type ReadReply = z.infer<typeof readReplySchema>;
+export type ReadResponse = z.infer<typeof readResponseSchema>;
--- a/tests/config/meshConfig.spec.ts
+++ b/tests/config/meshConfig.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { meshConfigSchema, workspaceFaults } from '@gentiandrum/protocol';
+import { meshConfigSchema, findWorkspaceIssues } from '@gentiandrum/protocol';
 import { readFileSync } from 'node:fs';
 import { parse } from 'yaml';
 import { describe, it } from '../support/describe.js';
@@ -32,10 +32,10 @@
 
   it('should call a key of two workspaces a fault for those who write it, without naming it', (t) => {
     const cfg = meshConfigSchema.parse(parse(readFileSync(kExample, 'utf8')));
-    t.deepEqual(workspaceFaults(cfg), []);
+    t.deepEqual(findWorkspaceIssues(cfg), []);
     const [first, second] = cfg.workspaces ?? [];
     second?.keys.push(first?.keys[0] ?? '');
-    t.deepEqual(workspaceFaults(cfg), ['workspaces.1.keys.1: expected a key of one workspace, got one that crews has too']);
+    t.deepEqual(findWorkspaceIssues(cfg), ['workspaces.1.keys.1: expected a key of one workspace, got one that crews has too']);
   });
 
   it('should refuse a service that is not declared, a second route for one place, and a prefix without its slashes', (t) => {
--- a/tests/matrix/matrixLog.ts
+++ b/tests/matrix/matrixLog.ts
@@ -6,14 +6,14 @@
 /** The platform's log in the matrix: streams in memory, with the faults that strike at its effects. */
 
 import type { Reply } from '@gentiandrum/core';
-import { claimStream, type ClaimRecord, kConfigStream, kSnapshotStream, type PatchRecord } from '@gentiandrum/protocol';
+import { claimStreamName, type ClaimRecord, kConfigStream, kSnapshotStream, type PatchRecord } from '@gentiandrum/protocol';
 import type { VirtualTime } from '../support/virtualTime.js';
 import type { Fault } from './faults.js';
 import type { Journal } from './journal.js';
 import type { MatrixDaemon } from './matrixDaemon.js';
 
 /** Stream of the only shard. */
-export const kClaimStream = claimStream(0);
+export const kClaimStream = claimStreamName(0);
 const kLostMs = 20;
 
 /** The log. */
--- a/tests/workspaces/keys.spec.ts
+++ b/tests/workspaces/keys.spec.ts
@@ -4,7 +4,7 @@
  */
 
 import { keyHash, loggedKey, readCredentials, WorkspaceTable } from '@gentiandrum/core';
-import { workspaceFaults, type Workspace } from '@gentiandrum/protocol';
+import { findWorkspaceIssues, type Workspace } from '@gentiandrum/protocol';
 import fc from 'fast-check';
 import { describe, it } from '../support/describe.js';
 
@@ -58,7 +58,7 @@
     t.is(table.find('k1')?.name, 'a');
     t.is(table.find('k2')?.name, 'b');
     t.false(table.holds('b', keyHash('k1')));
-    t.deepEqual(workspaceFaults({ workspaces }), ['workspaces.1.keys.0: expected a key of one workspace, got one that a has too']);
+    t.deepEqual(findWorkspaceIssues({ workspaces }), ['workspaces.1.keys.0: expected a key of one workspace, got one that a has too']);
   });
 
   it('should ask for keys only where there are workspaces', (t) => {
