--- a/packages/protocol/src/apiSchemas.ts
+++ b/packages/protocol/src/apiSchemas.ts
@@ -3,44 +3,42 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * What targets, operators and callers exchange with a daemon over HTTP. Paths below `/-/` are the daemon's own.
- */
+/** Headers and JSON schemas of the HTTP interface between daemons, targets, operators and callers. */
 
 import * as z from 'zod';
 
-/** Header with the opaque token of a call's chain. */
+/** Request header with the opaque token that identifies the call chain. */
 export const kChainHeader = 'gentiandrum-chain';
-/** Name of the W3C baggage entry that carries the same token. */
+/** Name of the W3C baggage entry that carries the chain token. */
 export const kBaggageKey = 'gentiandrum-chain';
-/** Header by which a caller tells the time it allows, in milliseconds. */
+/** Request header with the caller's timeout, in milliseconds. */
 export const kTimeoutHeader = 'gentiandrum-timeout-ms';
-/** Header with the request's id, on answers. */
+/** Response header with the request id. */
 export const kRequestIdHeader = 'gentiandrum-request-id';
-/** Header on answers: how the call ended, one of `not_run`, `unknown`, `ran`. */
+/** Response header with the outcome of the call: `not_run`, `unknown` or `ran`. */
 export const kOutcomeHeader = 'gentiandrum-outcome';
-/** Header of the daemon-to-daemon call with the offer's terms. */
+/** Request header between daemons with the offer, as JSON. */
 export const kOfferHeader = 'gentiandrum-offer';
-/** Header of the daemon-to-daemon answer. */
+/** Response header between daemons with the offer's verdict, as JSON. */
 export const kVerdictHeader = 'gentiandrum-verdict';
-/** Media type of error answers, RFC 9457. */
+/** Media type of error responses (RFC 9457). */
 export const kProblemMediaType = 'application/problem+json';
 
-/** A target's announcement to the daemon on its host; repeated at least every few seconds. */
+/** Announcement that a target sends periodically to the daemon on its host. */
 export const announcementSchema = z.strictObject({
   target: z.string().regex(/^[a-z0-9][a-z0-9._-]{0,62}$/),
   service: z.string().regex(/^[a-z0-9][a-z0-9._-]{0,62}$/),
-  /** Base address on this host, such as `http://10.1.2.3:8080`. */
+  /** Base URL of the target, such as `http://10.1.2.3:8080`. */
   url: z.url(),
   slots: z.int().min(1).max(100_000),
   connections: z.int().min(1).max(100_000),
-  /** The target's own word: false when it wants no new work. */
+  /** Whether the target accepts new requests. */
   accepting: z.boolean().default(true),
-  /** Load that the target reports of itself, in calls in flight. A hint: it may lag or mislead. */
+  /** Calls in flight as reported by the target; may be stale or inaccurate. */
   load: z.number().min(0).optional(),
 });
 
-/** An operator's patch as submitted to a daemon. */
+/** Configuration patch that an operator submits to a daemon. */
 export const patchRequestSchema = z.strictObject({
   patchId: z.string().min(8).max(64),
   base: z.int().min(0),
@@ -48,7 +46,7 @@
   patch: z.record(z.string(), z.unknown()),
 });
 
-/** What is held against a kind of request that targets may have ended by. */
+/** Crash evidence against the requests with one fingerprint. */
 export const suspicionSchema = z.object({
   fingerprint: z.string().min(1),
   screen: z.number().min(0),
@@ -56,7 +54,7 @@
   marks: z.array(z.object({ crash: z.number().min(0), at: z.number(), tested: z.boolean(), cleared: z.boolean(), released: z.boolean() })),
 });
 
-/** Terms of an offer from one daemon to another; travels in the offer header as JSON. */
+/** Terms of an offer from one daemon to another. */
 export const offerTermsSchema = z.object({
   attempt: z.string(),
   root: z.string(),
@@ -71,49 +69,47 @@
   remainingMs: z.number(),
   idempotent: z.boolean(),
   repeatable: z.boolean(),
-  /** Which call of the chain this is, the same for each attempt at it. */
+  /** Identifies the call within its chain; the same for every attempt. */
   path: z.string(),
   rootDaemon: z.string(),
   rootAddress: z.string(),
   rootIncarnation: z.number(),
-  /** What the sender holds against the call's kind; absent when nothing. */
+  /** Crash evidence that the sender has against the request's fingerprint, if any. */
   suspicion: suspicionSchema.optional(),
 });
 
-/** An offer with the request's own head; travels in the offer header as JSON. */
+/** Content of the offer header: the offer's terms with the method, path and headers of the request. */
 export const offerHeadSchema = z.object({
   terms: offerTermsSchema,
   method: z.string(),
   path: z.string(),
   headers: z.record(z.string(), z.union([z.string(), z.array(z.string())])),
-  /** Daemon that sends the offer; empty when it doesn't say. */
+  /** Id of the sending daemon; empty if it is not given. */
   from: z.string().default(''),
 });
 
-/** How the gate answered an offer; travels in the verdict header as JSON. */
+/** Content of the verdict header: the gate's response to an offer. */
 export const offerVerdictSchema = z.object({
   kind: z.enum(['answered', 'refused', 'failed', 'lost']),
-  /** Reason of a refusal or failure: one of the error kinds. */
+  /** Error kind of a refusal or failure. */
   reason: z.string().optional(),
-  /** Allowance that was not spent below. */
+  /** Retry allowance that downstream calls did not use. */
   unspent: z.int().min(0),
-  /** Tightest admission level met at the gate or below it, and the service that set it. */
+  /** Strictest admission level at this gate and downstream of it, and the service that set it. */
   level: z.object({ level: z.number().min(0), service: z.string() }),
-  /** Whether the failure was already retried below. */
+  /** Whether a downstream daemon already retried the failed call. */
   retriedBelow: z.boolean(),
-  /** Calls running and waiting at the gate, and its limit. */
-  /** What the gate holds against the call's kind. */
+  /** Crash evidence that the gate's daemon has against the request's fingerprint, if any. */
   suspicion: suspicionSchema.optional(),
+  /** Calls in flight and queued at the gate. */
   load: z.number().min(0),
+  /** Concurrency limit of the gate. */
   limit: z.number().min(1),
-  /** Status and headers of the target's answer; the body is the message's body. */
+  /** Status of the target's response, whose body is the body of this message. */
   status: z.int().optional(),
   headers: z.record(z.string(), z.union([z.string(), z.array(z.string())])).optional(),
 });
 
-/** Checked announcement. */
 export type Announcement = z.infer<typeof announcementSchema>;
-/** Checked patch request. */
 export type PatchRequest = z.infer<typeof patchRequestSchema>;
-/** Checked terms of an offer. */
 export type OfferTerms = z.infer<typeof offerTermsSchema>;
--- a/packages/protocol/src/configSchema.ts
+++ b/packages/protocol/src/configSchema.ts
@@ -3,46 +3,44 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * The configuration that operators submit as patches, and the one source of its types.
- */
+/** Schema of the configuration that operators change by patches. */
 
 import * as z from 'zod';
 
-/** Version of the rules below. Daemons refuse a configuration of a newer schema, so that all fold alike. */
+/** Version of this schema. Daemons reject a configuration with a newer one, so that all daemons apply patches by the same rules. */
 export const kConfigSchemaVersion = 1;
 
-/** Importance of a request class, most important first. */
+/** Importance levels of request classes, most important first. */
 export const kImportances = ['critical', 'high', 'normal', 'low'] as const;
 
-/** Longest chain that is served, in calls. */
+/** Maximum depth of a call chain. */
 export const kMaxChainDepth = 64;
 
 const nameSchema = z
   .string()
   .regex(/^[a-z0-9][a-z0-9._-]{0,62}$/, 'expected a lower-case name of at most 63 letters, digits, dots and dashes');
 
-/** One request class: which requests it takes, and how they are treated. */
+/** Request class: which requests match it and how they are handled. */
 export const requestClassSchema = z.strictObject({
   service: nameSchema,
-  /** HTTP methods; none means every method. */
+  /** HTTP methods that match; empty matches every method. */
   methods: z.array(z.string().regex(/^[A-Z]+$/, 'expected an upper-case HTTP method')).default([]),
-  /** Path pattern: `*` stands for one segment, a closing `**` for the rest. */
+  /** Path pattern: `*` matches one segment, a trailing `**` matches the rest. */
   path: z.string().startsWith('/', 'expected a path that starts with /').default('/**'),
   importance: z.enum(kImportances).default('normal'),
   idempotent: z.boolean().default(false),
-  /** Time for the whole request in milliseconds, unless the caller allows less. */
+  /** Timeout of the whole request in milliseconds; a caller may set a shorter one. */
   deadlineMs: z.int().min(10).max(600_000).default(5_000),
-  /** Retries that one request of this class may spend over its whole chain. */
+  /** Maximum number of retries of one request over its whole call chain. */
   retries: z.int().min(0).max(32).default(0),
-  /** Time after which an unanswered attempt gets a competitor, in milliseconds; only for idempotent classes. */
+  /** Time in milliseconds after which a pending attempt is hedged by a second one; only for idempotent classes. */
   attemptTimeoutMs: z.int().min(10).max(600_000).optional(),
 });
 
-/** Intake state that an operator gives a target. */
+/** Administrative state of a target: whether it accepts new requests. */
 export const targetIntakeSchema = z.enum(['serving', 'leaving']);
 
-/** The whole configuration. Maps, not lists, so that a merge patch can address one entry. */
+/** Schema of the whole configuration. Entries are in maps rather than lists, so that a merge patch can address one of them. */
 export const configSchema = z
   .strictObject({
     schema: z
@@ -54,7 +52,7 @@
     services: z.record(nameSchema, z.strictObject({ description: z.string().max(200).default('') })).default({}),
     targets: z.record(nameSchema, targetIntakeSchema).default({}),
     overload: z.strictObject({ favour: z.enum(['goodput', 'recovery']).default('goodput') }).default({ favour: 'goodput' }),
-    /** Retries per first attempt that a daemon may add for one service, over time. */
+    /** Retries that a daemon may add for one service, as a ratio of its first attempts. */
     retryRatio: z.number().min(0).max(1).default(0.1),
   })
   .superRefine((cfg, ctx) => {
@@ -76,11 +74,7 @@
     }
   });
 
-/** A checked configuration. */
 export type Config = z.infer<typeof configSchema>;
-/** A checked request class. */
 export type RequestClass = z.infer<typeof requestClassSchema>;
-/** Name of an importance. */
 export type Importance = (typeof kImportances)[number];
-/** What an operator has said of a target. */
 export type TargetIntake = z.infer<typeof targetIntakeSchema>;
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Schemas shared by daemons, targets, callers and operators, and the types inferred from them. */
+/** Schemas shared by daemons, targets, callers and operators, and their inferred types. */
 
 export * from './apiSchemas.js';
 export * from './configSchema.js';
--- a/packages/protocol/src/meshConfigSchema.ts
+++ b/packages/protocol/src/meshConfigSchema.ts
@@ -3,82 +3,79 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * The routing configuration of a deployment whose callers speak plain HTTP: routes by host name and path, and limits.
- */
+/** Schema of the routing configuration for plain HTTP callers: routes by host name and path, services, limits and workspaces. */
 
 import * as z from 'zod';
 
-/** Most destinations that one route may be split over. */
+/** Maximum number of destinations of a route. */
 const kMaxDestinations = 32;
 
-/** One share of a route's requests. */
+/** Service that receives a share of a route's requests. */
 export const destinationSchema = z.strictObject({
   service: z.string().min(1),
-  /** Share of the requests, relative to the other destinations of the route. */
+  /** Weight relative to the other destinations of the route. */
   weight: z.number().min(0),
 });
 
-/** One route: which requests it takes, where they go, and how they are treated. */
+/** Route: which requests match it, where they are sent and how they are handled. */
 export const routeSchema = z.strictObject({
   name: z.string().min(1),
-  /** Host name that callers send, in lower case and without a port. */
+  /** Host name from the request, in lower case and without a port. */
   host: z.string().min(1),
-  /** Prefix of the path; the longest one that matches wins. */
+  /** Path prefix; the longest matching prefix wins. */
   prefix: z.string().regex(/^\/(.*\/)?$/, 'expected a prefix that begins and ends with a slash'),
   destinations: z.array(destinationSchema).min(1).max(kMaxDestinations),
-  /** Whether a request may run more than once. */
+  /** Whether a request may be executed more than once. */
   idempotent: z.boolean().default(false),
-  /** Longest time until the final answer, in milliseconds. */
+  /** Maximum time until the final response, in milliseconds. */
   timeoutMs: z.number().positive(),
-  /** Time within which an answer is of full use to the caller, in milliseconds. */
+  /** Latency target of the response, in milliseconds. */
   latencyTargetMs: z.number().positive(),
-  /** Targets that one request may be sent to. */
+  /** Maximum number of attempts of one request that may reach a target. */
   maxAttempts: z.int().min(1).default(1),
-  /** Rank under overload; 0 is served first. */
+  /** Priority under overload; 0 is the highest. */
   priority: z.int().min(0).default(0),
-  /** Whether requests need no key, though there are workspaces. */
+  /** Whether requests need no key even if workspaces are configured. */
   exempt: z.boolean().default(false),
 });
 
-/** A workspace: whose requests they are, and how many it may have run. */
+/** Workspace: its keys, priority and quota. */
 export const workspaceSchema = z.strictObject({
   name: z.string().min(1),
-  /** Keys that its callers send; several, so that one can be taken away after another was given out. */
+  /** Keys that authenticate its callers; several are allowed, so that keys can be rotated. */
   keys: z.array(z.string().min(1)),
-  /** Rank of its requests under overload, before that of their routes; 0 is served first. */
+  /** Priority under overload, which precedes that of the route; 0 is the highest. */
   priority: z.int().min(0).default(0),
-  /** Requests a second that may run, over all daemons together; without one there is no limit. */
+  /** Requests per second over all daemons; if unset, there is no limit. */
   ratePerSecond: z.number().positive().optional(),
-  /** Requests that may run beyond that at once. */
+  /** Requests that may exceed the rate in a burst. */
   burst: z.number().min(0).default(0),
 });
 
-/** What is known of a service beyond its targets. */
+/** Properties that all targets of a service share. */
 export const meshServiceSchema = z.strictObject({
   name: z.string().min(1),
-  /** Connections that one target accepts from everybody together. */
+  /** Maximum number of connections that one target accepts from all hosts. */
   maxConnections: z.int().min(1),
 });
 
-/** Bounds on what callers send. */
+/** Limits on the requests and connections of callers. */
 export const callerLimitsSchema = z.strictObject({
   headerBytes: z.int().min(256),
   bodyBytes: z.int().min(0),
-  /** Time in which the head of a request has to arrive, in milliseconds. */
+  /** Timeout for receiving the head of a request, in milliseconds. */
   headerTimeoutMs: z.int().min(1),
-  /** Time for which a connection may stay idle, in milliseconds. */
+  /** Idle timeout of a connection, in milliseconds. */
   idleTimeoutMs: z.int().min(1),
 });
 
-/** The whole routing configuration. */
 export const meshConfigSchema = z
   .strictObject({
     version: z.int().min(0),
     routes: z.array(routeSchema),
     services: z.array(meshServiceSchema),
     limits: callerLimitsSchema,
-    /** Without this list requests need no key. */
+    /** If unset, requests need no key. */
     workspaces: z.array(workspaceSchema).optional(),
   })
   .superRefine((cfg, ctx) => {
@@ -99,7 +96,7 @@
     }
   });
 
-/** Faults of a configuration that daemons live with, as refusing all of it would serve nobody; for those who write it. */
+/** Returns the issues that the schema accepts because daemons tolerate them, but that authors of a configuration should resolve. */
 export function findWorkspaceIssues(cfg: Pick<MeshConfig, 'workspaces'>): string[] {
   const issues: string[] = [];
   const names = new Set<string>();
@@ -120,11 +117,7 @@
   return issues;
 }
 
-/** A checked routing configuration. */
 export type MeshConfig = z.infer<typeof meshConfigSchema>;
-/** A checked route. */
 export type Route = z.infer<typeof routeSchema>;
-/** A checked workspace. */
 export type Workspace = z.infer<typeof workspaceSchema>;
-/** A share of a route's requests. */
 export type Destination = z.infer<typeof destinationSchema>;
--- a/packages/protocol/src/meshSettingsSchema.ts
+++ b/packages/protocol/src/meshSettingsSchema.ts
@@ -3,80 +3,72 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * Settings of one daemon that routes plain HTTP: what it must know before it can reach anything else.
- */
+/** Schema of the settings file of the routing daemon, which it reads when it starts. */
 
 import * as z from 'zod';
 import { addressSchema } from './settingsSchema.js';
 
-/** Settings of a routing daemon. */
 export const meshSettingsSchema = z.strictObject({
   /** Name of the host, unique in the deployment. */
   id: z.string().min(1).max(120),
   zone: z.string().min(1),
   region: z.string().default(''),
   listen: z.strictObject({
-    /** Callers on this host, and the target itself. */
+    /** Calls from callers and from the local target. */
     calls: addressSchema,
-    /** Other daemons. */
+    /** Connections from other daemons. */
     peers: addressSchema,
-    /** Readiness checks of the platform. */
+    /** Readiness probes of the platform. */
     ready: addressSchema,
-    /** Announcements of the target on this host. */
+    /** Announcements of the local target. */
     announcements: addressSchema,
-    /** Metrics as text; none when left out. */
+    /** Metrics in text format; if unset, no metrics are exposed. */
     metrics: addressSchema.optional(),
   }),
   target: z.strictObject({ address: addressSchema, service: z.string().min(1) }),
   log: z.strictObject({
     address: addressSchema,
-    /** Whether the whole deployment starts for the first time: daemons then read the log one after the other, and find each other. */
+    /** Whether this is the initial start of the deployment. Daemons then delay their first reads of the log randomly. */
     firstStart: z.boolean().default(false),
   }),
-  /** Time within which an accepted configuration has to be in force at every daemon, in milliseconds. */
+  /** Time within which an accepted configuration must be in force on every daemon, in milliseconds. */
   inForceMs: z.number().min(500).default(2_000),
   retries: z
     .strictObject({
-      /** Repeats per first arrival that a service may get, all daemons together. */
+      /** Retries per first attempt that a service may receive from all daemons. */
       ratio: z.number().min(0).default(0.2),
-      /** Repeats that a service may get beyond that in one window. */
+      /** Additional retries that a service may receive in one window. */
       extra: z.number().min(0).default(10),
-      /** Length of a window, in seconds. */
       windowSeconds: z.number().positive().default(10),
     })
     .prefault({}),
-  /** How soon a key that was taken away stops working. */
+  /** Limits on how long a removed key stays valid. */
   revocation: z
     .strictObject({
-      /** Whether that holds at daemons that are cut off too: they then refuse requests with keys until they know better. */
+      /** Whether the limit also holds on daemons that cannot prove their configuration current; these refuse requests with keys. */
       strict: z.boolean().default(false),
-      /** Time after the acceptance of a version from which on no request with a key that it took away runs, in milliseconds. */
+      /** Time after the acceptance of a version within which daemons stop accepting the keys that it removes, in milliseconds. */
       withinMs: z.number().min(1_000).default(5_000),
     })
     .prefault({}),
-  /** What workspaces may have run beyond their rates, while daemons don't know of each other. */
+  /** Limits on how far workspaces may exceed their rates while daemons cannot coordinate. */
   quotas: z
     .strictObject({
-      /** Length of a window, in seconds. */
       windowSeconds: z.number().positive().default(5),
-      /** Share of what a window allows that may run beyond it. */
+      /** Allowed excess, as a fraction of the requests of one window. */
       overage: z.number().min(0).default(0.1),
-      /** Requests that may run beyond that. */
+      /** Additional requests allowed beyond that excess. */
       slack: z.number().min(0).default(10),
     })
     .prefault({}),
-  /** Time between a planned stop's signal and the moment at which the process is killed, in seconds. */
+  /** Time between the signal for a planned stop and the kill of the process, in seconds. */
   stopSeconds: z.number().positive().default(6),
-  /** Memory that the process may use, in MiB. */
+  /** Memory limit of the process, in MiB. */
   memoryMb: z.number().positive().default(256),
-  /** Log lines a second that ordinary decisions may take. */
+  /** Maximum number of log lines per second for routine decisions. */
   logLinesPerSecond: z.number().min(0).default(20),
 });
 
-/** How soon a key that was taken away stops working. */
 export type RevocationSettings = z.infer<typeof meshSettingsSchema>['revocation'];
-/** What workspaces may have run beyond their rates. */
 export type QuotaSettings = z.infer<typeof meshSettingsSchema>['quotas'];
-/** Checked settings of a routing daemon. */
 export type MeshSettings = z.infer<typeof meshSettingsSchema>;
--- a/packages/protocol/src/recordSchemas.ts
+++ b/packages/protocol/src/recordSchemas.ts
@@ -3,25 +3,23 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * Records of the project's streams in the platform's log. All are JSON values, one per append entry.
- */
+/** Schemas of the JSON records in the streams that the daemons keep in the platform's log. */
 
 import * as z from 'zod';
 
-/** Stream that orders the operators' patches. */
+/** Stream of configuration patches. */
 export const kConfigStream = 'gentiandrum.config';
-/** Stream with configuration snapshots. */
+/** Stream of configuration snapshots. */
 export const kSnapshotStream = 'gentiandrum.snapshots';
-/** Stream in which daemons make themselves known at start. */
+/** Stream in which daemons register when they start. */
 export const kMembersStream = 'gentiandrum.members';
 
-/** Name of the stream that orders the claims of one shard. */
+/** Returns the name of the stream with the claims of a shard. */
 export function claimStreamName(shard: number): string {
   return `gentiandrum.claims.${shard}`;
 }
 
-/** A patch that an operator submitted; whether it was accepted follows from its place in the stream. */
+/** Patch submitted by an operator. Its position in the stream decides whether it is accepted. */
 export const patchRecordSchema = z.object({
   patchId: z.string().min(8).max(64),
   base: z.int().min(0),
@@ -30,9 +28,9 @@
   patch: z.record(z.string(), z.unknown()),
 });
 
-/** The folded configuration as of an offset of the configuration stream. */
+/** Configuration that results from all patches below an offset of the configuration stream. */
 export const snapshotRecordSchema = z.object({
-  /** Offset of the next record to fold. */
+  /** Offset of the first record that the snapshot does not include. */
   offset: z.int().min(0),
   version: z.int().min(0),
   config: z.unknown(),
@@ -40,45 +38,41 @@
   digest: z.string(),
 });
 
-/** A daemon that started. */
+/** Registration of a daemon. */
 export const memberRecordSchema = z.object({
   id: z.string(),
   incarnation: z.int(),
   address: z.string(),
   zone: z.string(),
   region: z.string(),
-  /** Set when the daemon says goodbye at a planned stop. */
+  /** Set when the daemon deregisters on a planned stop. */
   goodbye: z.boolean().optional(),
 });
 
-/** A daemon's claim to run the call with this key. The first claim of a key in its stream is the one that counts. */
+/** Claim of a daemon to run the call with this key. The first claim of a key in its stream wins. */
 export const claimRecordSchema = z.object({
   key: z.string(),
   nonce: z.string(),
   claimant: z.string(),
   address: z.string(),
   body: z.string(),
-  /** Set in a record by which the claimant gives the key back: the call was not run. */
+  /** Set when the claimant releases the key because the call was not run. */
   released: z.boolean().optional(),
 });
 
-/** One entry of a claims stream: the claims that a daemon appended together. */
+/** Entry of a claims stream: claims that one daemon appended in a batch. */
 export const claimBatchSchema = z.array(claimRecordSchema).min(1);
 
-/** Answer of the log to an append. */
+/** Response of the log to an append. */
 export const appendResponseSchema = z.object({ offset: z.int().min(0) });
-/** Answer of the log to a read. */
+/** Response of the log to a read. */
 export const readResponseSchema = z.object({
   records: z.array(z.object({ offset: z.int().min(0), value: z.unknown() })),
   next: z.int().min(0),
   oldest: z.int().min(0),
 });
 
-/** Checked patch record. */
 export type PatchRecord = z.infer<typeof patchRecordSchema>;
-/** Checked snapshot record. */
 export type SnapshotRecord = z.infer<typeof snapshotRecordSchema>;
-/** Checked claim record. */
 export type ClaimRecord = z.infer<typeof claimRecordSchema>;
-/** Checked answer of the log to a read. */
 export type ReadResponse = z.infer<typeof readResponseSchema>;
