--- a/tests/mesh/meshFleet.ts
+++ b/tests/mesh/meshFleet.ts
@@ -6,7 +6,7 @@
 /** Routing daemons in one process, each with a target, over the stand-in of the platform's store. */
 
 import { EventLog, MeshDaemon } from '@gentiandrum/mesh';
-import { adaptPlatform } from '@gentiandrum/platform';
+import { createPlatform } from '@gentiandrum/platform';
 import { type MeshSettings, meshSettingsSchema } from '@gentiandrum/protocol';
 import { Agent, request } from 'undici';
 import { StoreStandin } from '../platform/storeStandin.js';
@@ -172,7 +172,7 @@
   private async _start(settings: MeshSettings, target: UpstreamStandin, place: HostPlace, beat: boolean): Promise<FleetHost> {
     const { id } = settings;
     const events = new EventLog(id, 0, 0);
-    const daemon = new MeshDaemon(settings, adaptPlatform(settings, events), events);
+    const daemon = new MeshDaemon(settings, createPlatform(settings, events), events);
     await daemon.start();
     const host = { ...place, settings, daemon, target };
     this.hosts.push(host);
--- a/tests/platform/foreignWriters.spec.ts
+++ b/tests/platform/foreignWriters.spec.ts
@@ -7,7 +7,7 @@
 
 import type { TargetRecord } from '@gentiandrum/core';
 import { EventLog, type RecordChange } from '@gentiandrum/mesh';
-import { decodeConfig, platformDialect, StoreClient, StoredRecords } from '@gentiandrum/platform';
+import { decodeConfig, platformDialect, StoreClient, StoreRecordLog } from '@gentiandrum/platform';
 import fc from 'fast-check';
 import { UpstreamStandin } from './upstreamStandin.js';
 import { StoreStandin } from './storeStandin.js';
@@ -112,7 +112,7 @@
     const store = new StoreStandin();
     const address = await store.start();
     const client = new StoreClient(address, new EventLog('h1', 0, 0));
-    const records = new StoredRecords(client, new EventLog('h0', 0, 0));
+    const records = new StoreRecordLog(client, new EventLog('h0', 0, 0));
     const seen: RecordChange[] = [];
     records.onChanges((changes) => seen.push(...changes));
     try {
--- a/tests/platform/topicReader.spec.ts
+++ b/tests/platform/topicReader.spec.ts
@@ -7,7 +7,7 @@
 
 import type { TargetRecord } from '@gentiandrum/core';
 import { EventLog, type RecordChange } from '@gentiandrum/mesh';
-import { StoreClient, StoredRecords } from '@gentiandrum/platform';
+import { StoreClient, StoreRecordLog } from '@gentiandrum/platform';
 import { describe, itAlone } from '../support/describe.js';
 import { StoreStandin } from './storeStandin.js';
 
@@ -19,10 +19,10 @@
   return { host, zone: 'z1', peers: '127.0.0.1:1', service: 's', instance: `i-${host}`, state: 'ready', slots: 5, epoch: 1, revision };
 }
 
-async function withRecords(body: (store: StoreStandin, records: StoredRecords, seen: RecordChange[]) => Promise<void>): Promise<void> {
+async function withRecords(body: (store: StoreStandin, records: StoreRecordLog, seen: RecordChange[]) => Promise<void>): Promise<void> {
   const store = new StoreStandin();
   const client = new StoreClient(await store.start(), new EventLog('h1', 0, 0));
-  const records = new StoredRecords(client, new EventLog('h1', 0, 0));
+  const records = new StoreRecordLog(client, new EventLog('h1', 0, 0));
   const seen: RecordChange[] = [];
   records.onChanges((changes) => seen.push(...changes));
   try {
