--- a/bench/arrival/main.ts
+++ b/bench/arrival/main.ts
@@ -48,7 +48,7 @@
     env: { GENTIANDRUM_BOOT: file },
     stdio: 'ignore',
   });
-  await fleet.until(`${id} to listen`, () => prepared.target.beat(prepared.host.control).then(Boolean, () => false));
+  await fleet.until(`${id} to listen`, () => prepared.target.sendHeartbeat(prepared.host.control).then(Boolean, () => false));
   return { ...prepared, child };
 }
 
--- a/tests/mesh/answers.spec.ts
+++ b/tests/mesh/answers.spec.ts
@@ -6,11 +6,11 @@
 /** Whole answers to the right caller, "not run" only when true, and nothing twice that must not be. */
 
 import { describe, itAlone } from '../support/describe.js';
-import type { AnswerMode } from '../platform/upstreamStandin.js';
+import type { ResponseMode } from '../platform/upstreamStandin.js';
 import { withFleet } from './meshFleet.js';
 
 describe('answers of a target', () => {
-  const bad: { mode: AnswerMode; status: number }[] = [
+  const bad: { mode: ResponseMode; status: number }[] = [
     { mode: 'unsealed', status: 502 },
     { mode: 'foreign_id', status: 502 },
     { mode: 'truncated', status: 502 },
@@ -110,7 +110,7 @@
       await fleet.untilServing('/a/warm');
       far.target.workMs = 1_500;
       t.is((await fleet.call(near, '/a/x', { remainingMs: 5_000 })).status, 504);
-      await fleet.until('the target to see the caller leave', () => far.target.left === 1);
+      await fleet.until('the target to see the caller leave', () => far.target.abortedRequests === 1);
     }),
   );
 
--- a/tests/mesh/bundle.spec.ts
+++ b/tests/mesh/bundle.spec.ts
@@ -45,7 +45,7 @@
         errors += text;
       });
       const ended = once(child, 'exit');
-      await fleet.until('the bundled daemon to listen', () => target.beat(host.control).then(Boolean, () => false));
+      await fleet.until('the bundled daemon to listen', () => target.sendHeartbeat(host.control).then(Boolean, () => false));
       await fleet.until('a call to be served by its target', async () => (await fleet.call(near, '/a/x')).status === 200);
       const first = JSON.stringify(settings);
       for (const [text, line] of [
--- a/tests/mesh/callers.spec.ts
+++ b/tests/mesh/callers.spec.ts
@@ -60,10 +60,10 @@
       const body = 'x'.repeat(700_000);
       t.is((await fleet.call(host, '/once/1', { method: 'POST', body })).status, 200);
       t.is(host.target.seen.at(-1)?.body.length, body.length);
-      host.target.answersEarly = true;
+      host.target.respondsEarly = true;
       const early = await fleet.call(host, '/once/2', { method: 'POST', body });
       t.is(early.status, 500);
-      host.target.answersEarly = false;
+      host.target.respondsEarly = false;
       for (let i = 0; i < 5; i++) {
         t.is((await fleet.call(host, `/once/${i + 3}`, { method: 'POST', body: `b${i}` })).status, 200);
         t.is(host.target.seen.at(-1)?.body, `b${i}`);
@@ -132,7 +132,7 @@
         await fleet.until('the target to work', () => host.target.running === 1);
         caller.leave();
         await fleet.until('the run to end', () => host.target.running === 0);
-        t.is(host.target.left, left);
+        t.is(host.target.abortedRequests, left);
       }
     }),
   );
--- a/tests/mesh/crashEvidence.spec.ts
+++ b/tests/mesh/crashEvidence.spec.ts
@@ -83,7 +83,7 @@
   itAlone('should not be seen in one that left as it said', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await withCallUnderWay(fleet);
-      t.is(await host.target.beat(host.control, 'draining'), 200);
+      t.is(await host.target.sendHeartbeat(host.control, 'draining'), 200);
       host.target.close();
       t.is(await call, 502);
       t.is(await crashes(fleet, host), 0);
@@ -94,14 +94,14 @@
     await withFleet(async (fleet) => {
       const { host, call } = await withCallUnderWay(fleet);
       const next = new UpstreamStandin('i-next', 's');
-      await host.target.leave(host.control);
+      await host.target.deregister(host.control);
       host.target.close();
       await call;
       const [, port = '0'] = host.target.address.split(':');
       next.port = Number(port);
       await next.start();
       try {
-        await next.beat(host.control);
+        await next.sendHeartbeat(host.control);
         await fleet.until('the next one to serve', async () => (await fleet.call(host, '/s/5')).status === 200);
         t.is(await crashes(fleet, host), 0);
       } finally {
--- a/tests/mesh/deadTarget.spec.ts
+++ b/tests/mesh/deadTarget.spec.ts
@@ -25,7 +25,7 @@
       await fleet.until('the record of b to say that its target is unreachable', () => b.daemon.record.state === 'unreachable');
       await fleet.until('a to know', async () => (await fleet.metrics(a)).includes('name="hosts_unreachable"'));
       // A late heartbeat of the dead target.
-      t.is(await b.target.beat(b.control), 200);
+      t.is(await b.target.sendHeartbeat(b.control), 200);
       await new Promise((resolve) => setTimeout(resolve, 250));
       t.is(b.daemon.record.state, 'unreachable');
       const back = new UpstreamStandin('i-b', 's');
@@ -135,7 +135,7 @@
       await fleet.until('the configuration to be in force', async () => (await fleet.call(a, '/s/1')).status === 200);
       a.target.workMs = 200;
       const both = await Promise.all([fleet.call(a, '/s/2'), fleet.call(a, '/s/3')]);
-      t.is(a.target.mostRunning, 1);
+      t.is(a.target.maxRunning, 1);
       t.true(both.some(({ status }) => status === 200));
     });
   });
--- a/tests/mesh/leaving.spec.ts
+++ b/tests/mesh/leaving.spec.ts
@@ -18,7 +18,7 @@
       const stays = await fleet.add('h1', 'reads');
       const leaves = await fleet.add('h2', 'reads', { zone: 'z2' });
       await fleet.untilServing('/a/warm');
-      t.is(await leaves.target.beat(leaves.control, 'draining'), 200);
+      t.is(await leaves.target.sendHeartbeat(leaves.control, 'draining'), 200);
       const before = leaves.target.seen.length;
       const answers = await Promise.all(
         [...Array.from({ length: 10 }, () => [stays, leaves]).flat()].map((host) => fleet.call(host, '/a/x')),
@@ -33,8 +33,8 @@
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
       await fleet.untilServing('/a/warm');
-      await host.target.beat(host.control, 'draining', 9);
-      await host.target.beat(host.control, 'ready', 8);
+      await host.target.sendHeartbeat(host.control, 'draining', 9);
+      await host.target.sendHeartbeat(host.control, 'ready', 8);
       t.is((await fleet.call(host, '/a/x')).status, 503);
     }),
   );
@@ -44,13 +44,13 @@
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
       await fleet.untilServing('/a/warm');
-      t.is(await host.target.leave(host.control), 200);
+      t.is(await host.target.deregister(host.control), 200);
       await fleet.until('the store to know', () => fleet.store.newest(kTopic).get('h1')?.includes('"gone"') === true);
       fleet.kill(host);
       const again = await fleet.add('h1', 'reads', { target: host.target, beat: false });
       await fleet.until('the new daemon to be ready', async () => (await fleet.readiness(again)) === 200);
       const before = host.target.seen.length;
-      await again.target.beat(again.control, 'ready');
+      await again.target.sendHeartbeat(again.control, 'ready');
       t.is((await fleet.call(again, '/a/x')).status, 503);
       t.is(host.target.seen.length, before);
     }),
@@ -63,10 +63,10 @@
       const other = await fleet.add('h2', 'other');
       await fleet.untilServing('/a/warm');
       fleet.store.mode = 'reset';
-      t.is(await host.target.beat(host.control, 'draining'), 200);
+      t.is(await host.target.sendHeartbeat(host.control, 'draining'), 200);
       fleet.kill(host);
       const again = await fleet.add('h1', 'reads', { target: host.target, beat: false });
-      await again.target.beat(again.control, 'ready', 1);
+      await again.target.sendHeartbeat(again.control, 'ready', 1);
       const before = host.target.seen.length;
       t.is((await fleet.call(again, '/a/x')).status, 503);
       t.is((await fleet.call(other, '/a/x')).status, 503);
@@ -80,8 +80,8 @@
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads', { beat: false });
-      t.is(await host.target.leave(host.control), 200);
-      t.is(await host.target.beat(host.control, 'ready', 7), 200);
+      t.is(await host.target.deregister(host.control), 200);
+      t.is(await host.target.sendHeartbeat(host.control, 'ready', 7), 200);
       await fleet.until('the daemon to be ready', async () => (await fleet.readiness(host)) === 200);
       t.is((await fleet.call(host, '/a/x')).status, 503);
       t.deepEqual(host.target.seen, []);
@@ -96,10 +96,10 @@
       const before = host.target.seen.length;
       const next = new UpstreamStandin('i-next', 'reads');
       await next.start();
-      await next.beat(host.control);
-      await host.target.beat(host.control);
+      await next.sendHeartbeat(host.control);
+      await host.target.sendHeartbeat(host.control);
       await fleet.until('the new instance to serve', async () => (await fleet.call(host, '/a/x')).status === 200);
-      await host.target.leave(host.control);
+      await host.target.deregister(host.control);
       t.is((await fleet.call(host, '/a/x')).status, 200);
       t.is(host.target.seen.length, before);
       t.true(next.seen.length >= 2);
@@ -135,7 +135,7 @@
       await fleet.until('the daemon to be ready', async () => (await fleet.readiness(again)) === 200);
       t.is((await fleet.call(again, '/a/x')).status, 503);
       t.is(host.target.seen.length, before);
-      await host.target.beat(again.control);
+      await host.target.sendHeartbeat(again.control);
       t.is((await fleet.call(again, '/a/x')).status, 200);
     }),
   );
@@ -157,7 +157,7 @@
         t.is((await fleet.call(other, '/a/x', { method: 'POST', body: 'hold' })).status, 503);
         return next.seen.length > 0;
       });
-      await next.beat(again.control);
+      await next.sendHeartbeat(again.control);
       t.is((await fleet.call(again, '/a/x', { method: 'POST', body: 'hold' })).status, 200);
       next.close();
     }),
@@ -191,7 +191,7 @@
         await fleet.until('both to be ready', async () => (await fleet.readiness(far)) === 200);
         await fleet.until('both to know each other', () => far.daemon.reachable === 1 && near.daemon.reachable === 1);
         fleet.store.mode = mode;
-        await far.target.beat(far.control);
+        await far.target.sendHeartbeat(far.control);
         await fleet.until('the target to be used', async () => (await fleet.call(near, '/a/x')).status === 200);
         fleet.store.mode = 'serving';
         await fleet.until('the store to know it', () => fleet.store.newest(kTopic).get('h2')?.includes('"ready"') === true);
@@ -254,7 +254,7 @@
       await fleet.untilServing('/a/warm');
       await fleet.until('the log to have it', () => fleet.store.newest(kTopic).has('h1'));
       const older = fleet.store.newest(kTopic).get('h1') ?? '';
-      await host.target.beat(host.control, 'draining');
+      await host.target.sendHeartbeat(host.control, 'draining');
       await fleet.until('the log to know the newer one', () => fleet.store.newest(kTopic).get('h1')?.includes('"draining"') === true);
       fleet.store.put(kTopic, 'h1', older);
       await fleet.until('the newer one to be back', () => fleet.store.newest(kTopic).get('h1')?.includes('"draining"') === true);
--- a/tests/mesh/lethalRequests.spec.ts
+++ b/tests/mesh/lethalRequests.spec.ts
@@ -67,7 +67,7 @@
     await target.start();
     const host = await fleet.add(`h${i}`, 's', { target: target.current, beat: false });
     target.control = host.control;
-    await target.current.beat(host.control);
+    await target.current.sendHeartbeat(host.control);
     targets.push(target);
     hosts.push(host);
   }
@@ -123,7 +123,7 @@
     clearInterval(timer);
   });
   await Promise.all(calls);
-  tally.ends = targets.reduce((sum, { ends }) => sum + ends, 0);
+  tally.ends = targets.reduce((sum, { crashes: ends }) => sum + ends, 0);
   targets.forEach((target) => {
     target.close();
   });
--- a/tests/mesh/meshFleet.ts
+++ b/tests/mesh/meshFleet.ts
@@ -177,7 +177,7 @@
     const host = { ...place, settings, daemon, target };
     this.hosts.push(host);
     if (beat) {
-      await target.beat(host.control);
+      await target.sendHeartbeat(host.control);
     }
     return host;
   }
--- a/tests/mesh/quarantineLasts.spec.ts
+++ b/tests/mesh/quarantineLasts.spec.ts
@@ -21,7 +21,7 @@
     await target.start();
     const host = await fleet.add(`h${i}`, 's', { target: target.current, beat: false });
     target.control = host.control;
-    await target.current.beat(host.control);
+    await target.current.sendHeartbeat(host.control);
     targets.push(target);
   }
   await fleet.untilServing('/s/first');
@@ -29,7 +29,7 @@
 }
 
 function endsOf(targets: readonly CrashingTarget[]): number {
-  return targets.reduce((sum, { ends }) => sum + ends, 0);
+  return targets.reduce((sum, { crashes: ends }) => sum + ends, 0);
 }
 
 function anyHost(fleet: MeshFleet): FleetHost {
@@ -91,7 +91,7 @@
       for (const host of all) {
         await fleet.restart(host);
       }
-      await Promise.all(targets.map(({ current, control }) => current.beat(control)));
+      await Promise.all(targets.map(({ current, control }) => current.sendHeartbeat(control)));
       await fleet.until('every daemon to know the kind again', async () => {
         const known = await Promise.all(fleet.hosts.map((host) => suspectsOf(host)));
         return known.every((suspects) => suspects.some(({ verdict }) => verdict === 'quarantined'));
--- a/tests/platform/crashingTarget.ts
+++ b/tests/platform/crashingTarget.ts
@@ -8,9 +8,9 @@
 import { type SeenRequest, UpstreamStandin } from './upstreamStandin.js';
 
 /** Time after which an ended target is back, in milliseconds. */
-const kDownMs = 1_500;
+const kRestartDelayMs = 1_500;
 /** Time for which a request that ends the target runs before it does, in milliseconds. */
-const kFatalMs = 30;
+const kCrashDelayMs = 30;
 
 /** One incarnation after the other on the same port. */
 export class CrashingTarget {
@@ -18,15 +18,15 @@
   control = '';
   current: UpstreamStandin;
   /** Ends so far. */
-  ends = 0;
+  crashes = 0;
   private _starts = 1;
   private _closed = false;
-  private _backTimer: NodeJS.Timeout | undefined;
+  private _restartTimer: NodeJS.Timeout | undefined;
 
   constructor(
     private readonly _name: string,
     private readonly _service: string,
-    private readonly _isLethal: (req: SeenRequest) => boolean,
+    private readonly _crashesTarget: (req: SeenRequest) => boolean,
   ) {
     this.current = this._create();
   }
@@ -38,25 +38,25 @@
 
   /** Ends the process with all its connections, for a while. */
   crash(): void {
-    if (this._backTimer || this._closed) {
+    if (this._restartTimer || this._closed) {
       return;
     }
-    this.ends++;
+    this.crashes++;
     this.current.close();
-    this._backTimer = setTimeout(() => {
-      this._backTimer = undefined;
-      void this._comeBack();
-    }, kDownMs);
+    this._restartTimer = setTimeout(() => {
+      this._restartTimer = undefined;
+      void this._restart();
+    }, kRestartDelayMs);
   }
 
   /** Ends for good. */
   close(): void {
     this._closed = true;
-    clearTimeout(this._backTimer);
+    clearTimeout(this._restartTimer);
     this.current.close();
   }
 
-  private async _comeBack(): Promise<void> {
+  private async _restart(): Promise<void> {
     const [, port = '0'] = this.current.address.split(':');
     this._starts++;
     this.current = this._create();
@@ -66,18 +66,18 @@
       this.current.close();
       return;
     }
-    await this.current.beat(this.control);
+    await this.current.sendHeartbeat(this.control);
   }
 
   private _create(): UpstreamStandin {
     const target = new UpstreamStandin(`${this._name}-${this._starts}`, this._service);
     target.onRun = (req) => {
-      if (this._isLethal(req)) {
+      if (this._crashesTarget(req)) {
         setTimeout(() => {
           if (this.current === target) {
             this.crash();
           }
-        }, kFatalMs);
+        }, kCrashDelayMs);
         // Its answer never comes.
         return new Promise(() => undefined);
       }
--- a/tests/platform/foreignWriters.spec.ts
+++ b/tests/platform/foreignWriters.spec.ts
@@ -35,23 +35,23 @@
 };
 
 /** Something in place of one field, at any depth. */
-function broken(whole: object): fc.Arbitrary<unknown> {
-  const paths = pathsOf(whole);
+function withReplacedField(original: object): fc.Arbitrary<unknown> {
+  const paths = fieldPaths(original);
   return fc.tuple(fc.constantFrom(...paths), fc.oneof(fc.constant(undefined), fc.jsonValue())).map(([path, value]) => {
-    const copy = structuredClone(whole) as Record<string, unknown>;
-    let at = copy;
+    const copy = structuredClone(original) as Record<string, unknown>;
+    let node = copy;
     for (const name of path.slice(0, -1)) {
-      at = at[name] as Record<string, unknown>;
+      node = node[name] as Record<string, unknown>;
     }
-    at[path.at(-1) ?? ''] = value;
+    node[path.at(-1) ?? ''] = value;
     return copy;
   });
 }
 
-function pathsOf(whole: object, above: string[] = []): string[][] {
-  return Object.entries(whole).flatMap(([name, value]) => {
-    const path = [...above, name];
-    return typeof value === 'object' && value !== null ? [path, ...pathsOf(value as object, path)] : [path];
+function fieldPaths(object: object, parents: string[] = []): string[][] {
+  return Object.entries(object).flatMap(([name, value]) => {
+    const path = [...parents, name];
+    return typeof value === 'object' && value !== null ? [path, ...fieldPaths(value as object, path)] : [path];
   });
 }
 
@@ -60,16 +60,16 @@
     const bodies = fc.oneof(
       fc.uint8Array({ maxLength: 200 }).map((bytes) => Buffer.from(bytes)),
       fc.json().map((text) => Buffer.from(text)),
-      broken(kHeartbeat).map((value) => Buffer.from(JSON.stringify(value))),
+      withReplacedField(kHeartbeat).map((value) => Buffer.from(JSON.stringify(value))),
     );
     fc.assert(
       fc.property(fc.constantFrom('PUT', 'DELETE', 'POST'), bodies, (method, body) => {
-        const word = platformDialect.readAnnouncement(method, kPath, body);
-        if (word && word.state !== 'gone') {
-          t.is(typeof word.details?.service, 'string');
-          t.true((word.details?.slots ?? 0) >= 1);
-          t.regex(word.details?.address ?? '', /^[0-9.]+:\d+$/);
-          t.true(word.sequence >= 0);
+        const announcement = platformDialect.readAnnouncement(method, kPath, body);
+        if (announcement && announcement.state !== 'gone') {
+          t.is(typeof announcement.details?.service, 'string');
+          t.true((announcement.details?.slots ?? 0) >= 1);
+          t.regex(announcement.details?.address ?? '', /^[0-9.]+:\d+$/);
+          t.true(announcement.sequence >= 0);
         }
       }),
       { numRuns: 2_000 },
@@ -93,11 +93,11 @@
       const stranger = new UpstreamStandin('i-stranger', 'no-service');
       await stranger.start();
       try {
-        t.is(await stranger.beat(host.control), 400);
+        t.is(await stranger.sendHeartbeat(host.control), 400);
         stranger.address = '10.9.9.9:80';
         const elsewhere = new UpstreamStandin('i-elsewhere', 'reads');
         elsewhere.address = '10.9.9.9:80';
-        t.is(await elsewhere.beat(host.control), 400);
+        t.is(await elsewhere.sendHeartbeat(host.control), 400);
         t.is((await fleet.call(host, '/a/x')).status, 200);
         t.is(host.daemon.record.instance, 'i-h1');
       } finally {
@@ -116,8 +116,8 @@
     const seen: RecordChange[] = [];
     records.onChanges((changes) => seen.push(...changes));
     try {
-      const samples = fc.sample(broken(kRecord), { numRuns: 200, seed: 5 });
-      samples.forEach((value, i) => {
+      const values = fc.sample(withReplacedField(kRecord), { numRuns: 200, seed: 5 });
+      values.forEach((value, i) => {
         store.put(kTopic, `bad-${i}`, JSON.stringify(value));
       });
       store.put(kTopic, 'bytes', '\u0000\u0001{');
--- a/tests/platform/storeStandin.ts
+++ b/tests/platform/storeStandin.ts
@@ -19,12 +19,12 @@
 interface Topic {
   records: StoredRecord[];
   /** Offset of the first record that is retained. */
-  first: number;
-  waiting: (() => void)[];
+  firstOffset: number;
+  waiters: (() => void)[];
 }
 
 const kPageSize = 500;
-const kHeadBytes = 16;
+const kReadHeaderBytes = 16;
 const kLengthBytes = 4;
 
 /** A store. */
@@ -38,7 +38,7 @@
 
   constructor() {
     this._server = createServer((req, res) => {
-      void this._serve(req, res);
+      void this._handleRequest(req, res);
     });
   }
 
@@ -59,7 +59,7 @@
   put(topicName: string, key: string, value: string): void {
     const topic = this._topic(topicName);
     topic.records.push({ key, value: Buffer.from(value) });
-    topic.waiting.splice(0).forEach((wake) => {
+    topic.waiters.splice(0).forEach((wake) => {
       wake();
     });
   }
@@ -80,8 +80,8 @@
   /** Forgets the history of a topic; the newest record of each key stays readable. */
   compact(topicName: string): void {
     const topic = this._topic(topicName);
-    topic.first = topic.records.length;
-    topic.waiting.splice(0).forEach((wake) => {
+    topic.firstOffset = topic.records.length;
+    topic.waiters.splice(0).forEach((wake) => {
       wake();
     });
   }
@@ -90,9 +90,9 @@
   rewind(topicName: string, records: number): void {
     const topic = this._topic(topicName);
     topic.records.splice(Math.max(0, topic.records.length - records));
-    topic.first = Math.min(topic.first, topic.records.length);
+    topic.firstOffset = Math.min(topic.firstOffset, topic.records.length);
     this.era = (this.era ?? 0) + 1;
-    topic.waiting.splice(0).forEach((wake) => {
+    topic.waiters.splice(0).forEach((wake) => {
       wake();
     });
   }
@@ -100,13 +100,13 @@
   private _topic(name: string): Topic {
     let topic = this._topics.get(name);
     if (!topic) {
-      topic = { records: [], first: 0, waiting: [] };
+      topic = { records: [], firstOffset: 0, waiters: [] };
       this._topics.set(name, topic);
     }
     return topic;
   }
 
-  private async _serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  private async _handleRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
     this.calls++;
     const body = await readBody(req);
     if (this.era !== undefined) {
@@ -128,21 +128,21 @@
         req.socket.resetAndDestroy();
         return;
       case 'lost':
-        this._lose(req, body);
+        this._appendWithoutResponse(req, body);
         return;
       case 'serving':
-        await this._answer(req, res, body);
+        await this._dispatch(req, res, body);
     }
   }
 
-  private _lose(req: IncomingMessage, body: Buffer): void {
+  private _appendWithoutResponse(req: IncomingMessage, body: Buffer): void {
     const url = new URL(req.url ?? '/', 'http://store');
     if (url.pathname === '/v1/log-append') {
       this._append(url.searchParams.get('topic') ?? '', body);
     }
   }
 
-  private async _answer(req: IncomingMessage, res: ServerResponse, body: Buffer): Promise<void> {
+  private async _dispatch(req: IncomingMessage, res: ServerResponse, body: Buffer): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://store');
     const name = url.searchParams.get('topic') ?? '';
     switch (url.pathname) {
@@ -181,10 +181,10 @@
 
   private async _read(res: ServerResponse, name: string, from: number, waitMs: number): Promise<void> {
     const topic = this._topic(name);
-    if (from === topic.records.length && from >= topic.first) {
+    if (from === topic.records.length && from >= topic.firstOffset) {
       await new Promise<void>((resolve) => {
         const timer = setTimeout(resolve, waitMs);
-        topic.waiting.push(() => {
+        topic.waiters.push(() => {
           clearTimeout(timer);
           resolve();
         });
@@ -193,13 +193,13 @@
     if (this.era !== undefined) {
       res.setHeader('store-era', String(this.era));
     }
-    if (from < topic.first || from > topic.records.length) {
-      sendJson(res, 410, { first_offset: topic.first });
+    if (from < topic.firstOffset || from > topic.records.length) {
+      sendJson(res, 410, { first_offset: topic.firstOffset });
       return;
     }
-    const head = Buffer.alloc(kHeadBytes);
+    const head = Buffer.alloc(kReadHeaderBytes);
     head.writeBigUInt64BE(BigInt(topic.records.length), 0);
-    head.writeBigUInt64BE(BigInt(topic.first), 8);
+    head.writeBigUInt64BE(BigInt(topic.firstOffset), 8);
     res.writeHead(200).end(Buffer.concat([head, ...topic.records.slice(from).map(frame)]));
   }
 }
--- a/tests/platform/topicReader.spec.ts
+++ b/tests/platform/topicReader.spec.ts
@@ -12,8 +12,8 @@
 import { StoreStandin } from './storeStandin.js';
 
 const kTopic = 'keyed.gentiandrum-hosts';
-const kLookMs = 10;
-const kWaitMs = 10_000;
+const kPollMs = 10;
+const kTimeoutMs = 10_000;
 
 function recordOf(host: string, revision = 1): TargetRecord {
   return { host, zone: 'z1', peers: '127.0.0.1:1', service: 's', instance: `i-${host}`, state: 'ready', slots: 5, epoch: 1, revision };
@@ -24,7 +24,7 @@
   const client = new StoreClient(await store.start(), new EventLog('h1', 0, 0));
   const records = new StoreRecordLog(client, new EventLog('h1', 0, 0));
   const seen: RecordChange[] = [];
-  records.onChanges((changes) => seen.push(...changes));
+  records.onChanges((batch) => seen.push(...batch));
   try {
     await body(store, records, seen);
   } finally {
@@ -34,13 +34,13 @@
   }
 }
 
-async function until(what: string, holds: () => boolean): Promise<void> {
-  const end = performance.now() + kWaitMs;
-  while (!holds()) {
-    if (performance.now() > end) {
+async function waitUntil(what: string, condition: () => boolean): Promise<void> {
+  const deadline = performance.now() + kTimeoutMs;
+  while (!condition()) {
+    if (performance.now() > deadline) {
       throw new Error(`expected ${what}`);
     }
-    await new Promise((resolve) => setTimeout(resolve, kLookMs));
+    await new Promise((resolve) => setTimeout(resolve, kPollMs));
   }
 }
 
@@ -78,11 +78,11 @@
     withRecords(async (store, records, seen) => {
       store.put(kTopic, 'h1', JSON.stringify(recordOf('h1')));
       records.follow(true);
-      await until('the first record', () => seen.length === 1);
+      await waitUntil('the first record', () => seen.length === 1);
       store.put(kTopic, 'h2', JSON.stringify(recordOf('h2')));
-      await until('the second record', () => seen.length === 2);
+      await waitUntil('the second record', () => seen.length === 2);
       store.put(kTopic, 'h1', '');
-      await until('the erasure', () => seen.length === 3);
+      await waitUntil('the erasure', () => seen.length === 3);
       t.deepEqual(seen.at(-1), { kind: 'erased', host: 'h1' });
     }),
   );
--- a/tests/platform/upstreamStandin.ts
+++ b/tests/platform/upstreamStandin.ts
@@ -10,7 +10,7 @@
 import { readBody } from '../standins/httpJson.js';
 
 /** What the next answers look like. */
-export type AnswerMode =
+export type ResponseMode =
   | 'whole'
   | 'failing'
   | 'shedding'
@@ -41,22 +41,22 @@
 
 /** A target. */
 export class UpstreamStandin {
-  mode: AnswerMode = 'whole';
+  mode: ResponseMode = 'whole';
   /** Answers that the mode holds for; then they are whole again. */
-  modeLeft = Infinity;
+  responsesLeftInMode = Infinity;
   workMs = 1;
   /** Bytes added to each whole answer. */
   padding = 0;
   /** Fails a request before it has read its body, keeps the connection, and reads on later. */
-  answersEarly = false;
+  respondsEarly = false;
   /** Called with each request that begins to run; the run lasts until the promise resolves, if there is one. */
   onRun: (req: SeenRequest) => Promise<void> | undefined = () => undefined;
   readonly seen: SeenRequest[] = [];
   /** Requests whose connection closed before the answer. */
-  left = 0;
+  abortedRequests = 0;
   running = 0;
   /** Most requests that ran at once. */
-  mostRunning = 0;
+  maxRunning = 0;
   address = '';
   /** Port to listen on; any free one when 0. */
   port = 0;
@@ -69,7 +69,7 @@
     readonly slots = 20,
   ) {
     this._server = createServer((req, res) => {
-      void this._serve(req, res);
+      void this._handleRequest(req, res);
     });
     this._server.keepAliveTimeout = 10_000;
   }
@@ -82,7 +82,7 @@
   }
 
   /** Announces itself to a daemon; returns the status of the answer. */
-  async beat(control: string, state: 'ready' | 'draining' = 'ready', sequence = ++this._sequence): Promise<number> {
+  async sendHeartbeat(control: string, state: 'ready' | 'draining' = 'ready', sequence = ++this._sequence): Promise<number> {
     const body = JSON.stringify({
       address: this.address,
       info: { service: this.service, version: 'v1', zone: 'z', slots: this.slots },
@@ -98,7 +98,7 @@
   }
 
   /** Says that it leaves for good. */
-  async leave(control: string): Promise<number> {
+  async deregister(control: string): Promise<number> {
     const res = await request(`http://${control}/v1/instances/${this.instance}`, { method: 'DELETE' });
     await res.body.dump();
     return res.statusCode;
@@ -110,8 +110,8 @@
     this._server.closeAllConnections();
   }
 
-  private async _serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    if (this.answersEarly) {
+  private async _handleRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    if (this.respondsEarly) {
       const id = String(req.headers['x-attempt-id'] ?? '');
       res.writeHead(500, { 'x-attempt-id': id, 'x-response-seal': `seal.${id}`, 'content-length': 0 }).end();
     }
@@ -137,19 +137,19 @@
       return;
     }
     this.running++;
-    this.mostRunning = Math.max(this.mostRunning, this.running);
+    this.maxRunning = Math.max(this.maxRunning, this.running);
     await (this.onRun(seen) ?? new Promise((resolve) => setTimeout(resolve, this.workMs)));
     this.running--;
     if (res.destroyed) {
-      this.left++;
+      this.abortedRequests++;
       return;
     }
-    const mode = this.modeLeft > 0 ? this.mode : 'whole';
-    this.modeLeft--;
-    this._answer(mode, header('x-attempt-id'), req, res);
+    const mode = this.responsesLeftInMode > 0 ? this.mode : 'whole';
+    this.responsesLeftInMode--;
+    this._respond(mode, header('x-attempt-id'), req, res);
   }
 
-  private _answer(mode: AnswerMode, id: string, req: IncomingMessage, res: ServerResponse): void {
+  private _respond(mode: ResponseMode, id: string, req: IncomingMessage, res: ServerResponse): void {
     const text = `${this.instance} did ${id}${'x'.repeat(this.padding)}`;
     const sealed = { 'x-attempt-id': id, 'x-response-seal': `seal.${id}` };
     switch (mode) {
@@ -180,11 +180,11 @@
         res.destroy();
         return;
       default:
-        this._answerRaw(mode, id, text, req);
+        this._respondRaw(mode, id, text, req);
     }
   }
 
-  private _answerRaw(mode: AnswerMode, id: string, text: string, req: IncomingMessage): void {
+  private _respondRaw(mode: ResponseMode, id: string, text: string, req: IncomingMessage): void {
     const head = `HTTP/1.1 200 OK\r\nX-Attempt-Id: ${id}\r\nX-Response-Seal: seal.${id}\r\n`;
     const { socket } = req;
     switch (mode) {
@@ -199,8 +199,8 @@
         setTimeout(() => socket.resetAndDestroy(), 5);
         return;
       default: {
-        const whole = `${head}Content-Length: ${text.length}\r\n\r\n${text}`;
-        socket.write(whole + whole);
+        const response = `${head}Content-Length: ${text.length}\r\n\r\n${text}`;
+        socket.write(response + response);
       }
     }
   }
