--- a/tests/platform/crashingTarget.ts
+++ b/tests/platform/crashingTarget.ts
@@ -3,21 +3,20 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stand-in for a target whose process ends while some requests run on it, and is started again on its port. */
+/** Stand-in for a target that crashes on some requests and restarts on the same port. */
 
 import { type SeenRequest, UpstreamStandin } from './upstreamStandin.js';
 
-/** Time after which an ended target is back, in milliseconds. */
+/** Time between a crash and the restart, in milliseconds. */
 const kRestartDelayMs = 1_500;
-/** Time for which a request that ends the target runs before it does, in milliseconds. */
+/** Time for which a request runs before it crashes the target, in milliseconds. */
 const kCrashDelayMs = 30;
 
-/** One incarnation after the other on the same port. */
+/** Runs successive incarnations of a target on one port. */
 export class CrashingTarget {
-  /** Address at which the daemon of the host takes announcements. */
+  /** Address at which the daemon of the host accepts announcements. */
   control = '';
   current: UpstreamStandin;
-  /** Ends so far. */
   crashes = 0;
   private _starts = 1;
   private _closed = false;
@@ -31,12 +30,12 @@
     this.current = this._create();
   }
 
-  /** Listens on the loopback. */
+  /** Listens on the loopback interface. */
   async start(): Promise<void> {
     await this.current.start();
   }
 
-  /** Ends the process with all its connections, for a while. */
+  /** Closes all connections as a crash does, and schedules the restart. */
   crash(): void {
     if (this._restartTimer || this._closed) {
       return;
@@ -49,7 +48,7 @@
     }, kRestartDelayMs);
   }
 
-  /** Ends for good. */
+  /** Stops without a restart. */
   close(): void {
     this._closed = true;
     clearTimeout(this._restartTimer);
@@ -78,7 +77,7 @@
             this.crash();
           }
         }, kCrashDelayMs);
-        // Its answer never comes.
+        // The request never completes.
         return new Promise(() => undefined);
       }
       return undefined;
--- a/tests/platform/foreignWriters.spec.ts
+++ b/tests/platform/foreignWriters.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Heartbeats and records of other writers: they name no target to use, and the others hold. */
+/** Guards against malformed heartbeats, records and configurations from other writers being used or displacing valid ones. */
 
 import type { TargetRecord } from '@gentiandrum/core';
 import { EventLog, type RecordChange } from '@gentiandrum/mesh';
@@ -34,7 +34,7 @@
   revision: 1,
 };
 
-/** Something in place of one field, at any depth. */
+/** Generates copies of an object with one field, at any depth, replaced by an arbitrary value. */
 function withReplacedField(original: object): fc.Arbitrary<unknown> {
   const paths = fieldPaths(original);
   return fc.tuple(fc.constantFrom(...paths), fc.oneof(fc.constant(undefined), fc.jsonValue())).map(([path, value]) => {
@@ -56,7 +56,7 @@
 }
 
 describe('heartbeats of other writers', () => {
-  it('should be read as nothing, or as a whole announcement, and never throw', (t) => {
+  it('should be rejected or read as a complete announcement, and never throw', (t) => {
     const bodies = fc.oneof(
       fc.uint8Array({ maxLength: 200 }).map((bytes) => Buffer.from(bytes)),
       fc.json().map((text) => Buffer.from(text)),
@@ -76,7 +76,7 @@
     );
   });
 
-  it('should be read with the start of their incarnation, also when they leave', (t) => {
+  it('should be read with the start of their incarnation, also on deregistration', (t) => {
     const read = (method: string, body: unknown): number | undefined =>
       platformDialect.readAnnouncement(method, kPath, Buffer.from(JSON.stringify(body)))?.born;
     t.is(read('PUT', kHeartbeat), kHeartbeat.born);
@@ -85,7 +85,7 @@
     t.is(platformDialect.readAnnouncement('DELETE', kPath, Buffer.alloc(0))?.state, 'gone');
   });
 
-  itAlone('should not take the place of the target', (t) =>
+  itAlone('should not replace the target', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -108,7 +108,7 @@
 });
 
 describe('records of other writers', () => {
-  itAlone('should name no host, while those beside them are read', async (t) => {
+  itAlone('should be skipped while valid records are read', async (t) => {
     const store = new StoreStandin();
     const address = await store.start();
     const client = new StoreClient(address, new EventLog('h1', 0, 0));
@@ -133,7 +133,7 @@
 });
 
 describe('configurations', () => {
-  it('should be read whole or not at all, whatever stands there', (t) => {
+  it('should be rejected when malformed', (t) => {
     fc.assert(
       fc.property(fc.oneof(fc.json(), fc.string()), (text) => {
         t.is(decodeConfig(Buffer.from(text)), undefined);
--- a/tests/platform/storeStandin.ts
+++ b/tests/platform/storeStandin.ts
@@ -3,12 +3,12 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stand-in for the platform's store: keyed topics with one partition, long polls, and the ways in which it fails. */
+/** Stand-in for the platform's store: keyed topics with one partition, long polling and failure modes. */
 
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { readBody, sendJson } from '../standins/httpJson.js';
 
-/** How the store behaves. `silent` takes calls and never answers; `lost` does what is asked and doesn't say so. */
+/** Behaviour of the store. `silent` accepts calls and ignores them; `lost` executes appends and never responds. */
 export type StoreMode = 'serving' | 'busy' | 'limited' | 'full' | 'silent' | 'lost' | 'reset';
 
 interface StoredRecord {
@@ -27,10 +27,9 @@
 const kReadHeaderBytes = 16;
 const kLengthBytes = 4;
 
-/** A store. */
 export class StoreStandin {
   mode: StoreMode = 'serving';
-  /** Rises each time that the store comes back from a copy; not told while undefined. */
+  /** Increments on each restore from a copy; responses carry no era while undefined. */
   era: number | undefined;
   calls = 0;
   private readonly _topics = new Map<string, Topic>();
@@ -42,20 +41,20 @@
     });
   }
 
-  /** Listens on the loopback; returns the address. */
+  /** Listens on the loopback interface; returns the address. */
   async start(): Promise<string> {
     await new Promise<void>((resolve) => this._server.listen(0, '127.0.0.1', resolve));
     const address = this._server.address();
     return `127.0.0.1:${typeof address === 'object' && address ? address.port : 0}`;
   }
 
-  /** Ends all connections. */
+  /** Stops the server and closes all connections. */
   close(): void {
     this._server.close();
     this._server.closeAllConnections();
   }
 
-  /** Writes a record, as the operator or another daemon would. */
+  /** Appends a record, as an operator or another daemon does. */
   put(topicName: string, key: string, value: string): void {
     const topic = this._topic(topicName);
     topic.records.push({ key, value: Buffer.from(value) });
@@ -64,7 +63,7 @@
     });
   }
 
-  /** The newest value of each key. */
+  /** Returns the newest value of each key. */
   newest(topicName: string): Map<string, string> {
     const newest = new Map<string, string>();
     for (const { key, value } of this._topic(topicName).records) {
@@ -77,7 +76,7 @@
     return newest;
   }
 
-  /** Forgets the history of a topic; the newest record of each key stays readable. */
+  /** Expires the history of a topic; the newest record of each key stays readable. */
   compact(topicName: string): void {
     const topic = this._topic(topicName);
     topic.firstOffset = topic.records.length;
@@ -86,7 +85,7 @@
     });
   }
 
-  /** Comes back from a copy: the last records of a topic are gone, and their offsets are given out again. */
+  /** Simulates a restore from a copy: removes the last records of a topic, whose offsets are reused. */
   rewind(topicName: string, records: number): void {
     const topic = this._topic(topicName);
     topic.records.splice(Math.max(0, topic.records.length - records));
--- a/tests/platform/topicReader.spec.ts
+++ b/tests/platform/topicReader.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The records of hosts in the store, as a daemon reads and writes them: each call has its price. */
+/** Guards against superfluous store calls and against lost, incomplete or stale host records. */
 
 import type { TargetRecord } from '@gentiandrum/core';
 import { EventLog, type RecordChange } from '@gentiandrum/mesh';
@@ -45,7 +45,7 @@
 }
 
 describe('records in the store', () => {
-  itAlone('should be appended together in one call, and read back whole', (t) =>
+  itAlone('should be appended in one call and read back unchanged', (t) =>
     withRecords(async (store, records, seen) => {
       t.true(await records.append([recordOf('h1'), recordOf('h2'), recordOf('h3')]));
       t.is(store.calls, 1);
@@ -58,7 +58,7 @@
     }),
   );
 
-  itAlone('should not be called for while nobody asks', (t) =>
+  itAlone('should cause no calls unless they are requested', (t) =>
     withRecords(async (store, records) => {
       await records.readNewest();
       store.put(kTopic, 'h1', JSON.stringify(recordOf('h1')));
@@ -67,14 +67,14 @@
     }),
   );
 
-  itAlone('should be read once for several that ask at the same time', (t) =>
+  itAlone('should be read once for concurrent requests', (t) =>
     withRecords(async (store, records) => {
       t.deepEqual(await Promise.all([records.readNewest(), records.readNewest(), records.readNewest()]), [true, true, true]);
       t.is(store.calls, 1);
     }),
   );
 
-  itAlone('should come while they are followed, those of the time before the first read included', (t) =>
+  itAlone('should be reported while followed, including those written before the first read', (t) =>
     withRecords(async (store, records, seen) => {
       store.put(kTopic, 'h1', JSON.stringify(recordOf('h1')));
       records.follow(true);
@@ -87,7 +87,7 @@
     }),
   );
 
-  itAlone('should be known to fail, and to be answered again', (t) =>
+  itAlone('should report failing calls and recovery', (t) =>
     withRecords(async (store, records) => {
       store.mode = 'busy';
       t.false(await records.readNewest());
--- a/tests/platform/upstreamStandin.ts
+++ b/tests/platform/upstreamStandin.ts
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stand-in for a target of the platform: echoes ids, marks its answers, announces itself, and answers badly on demand. */
+/** Stand-in for a target of the platform: echoes ids, seals its responses, announces itself and misbehaves on demand. */
 
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { request } from 'undici';
 import { readBody } from '../standins/httpJson.js';
 
-/** What the next answers look like. */
+/** How the target responds to requests. */
 export type ResponseMode =
   | 'whole'
   | 'failing'
@@ -24,7 +24,7 @@
   | 'unframed_reset'
   | 'surplus';
 
-/** One request as the target saw it. */
+/** Request as received by the target. */
 export interface SeenRequest {
   id: string;
   method: string;
@@ -32,33 +32,32 @@
   caller: string;
   remainingMs: number;
   instance: string;
-  /** Workspace, as the daemon named it; undefined without that header. */
+  /** Workspace from the daemon's header; undefined without that header. */
   workspace: string | undefined;
-  /** What came with the key's header. */
+  /** Value of the `authorization` header. */
   credentials: string | undefined;
   body: string;
 }
 
-/** A target. */
 export class UpstreamStandin {
   mode: ResponseMode = 'whole';
-  /** Answers that the mode holds for; then they are whole again. */
+  /** Number of responses to which `mode` applies; later ones are complete. */
   responsesLeftInMode = Infinity;
   workMs = 1;
-  /** Bytes added to each whole answer. */
+  /** Bytes added to the body of each complete response. */
   padding = 0;
-  /** Fails a request before it has read its body, keeps the connection, and reads on later. */
+  /** Responds with status 500 before the body is read, keeps the connection open and reads the body afterwards. */
   respondsEarly = false;
-  /** Called with each request that begins to run; the run lasts until the promise resolves, if there is one. */
+  /** Called when a request starts to run; if it returns a promise, the request runs until that resolves. */
   onRun: (req: SeenRequest) => Promise<void> | undefined = () => undefined;
   readonly seen: SeenRequest[] = [];
-  /** Requests whose connection closed before the answer. */
+  /** Number of requests whose connection closed before the response. */
   abortedRequests = 0;
   running = 0;
-  /** Most requests that ran at once. */
+  /** Maximum number of concurrently running requests. */
   maxRunning = 0;
   address = '';
-  /** Port to listen on; any free one when 0. */
+  /** Port to listen on; 0 selects a free one. */
   port = 0;
   private _sequence = 0;
   private readonly _server: Server;
@@ -74,14 +73,14 @@
     this._server.keepAliveTimeout = 10_000;
   }
 
-  /** Listens on the loopback. */
+  /** Listens on the loopback interface. */
   async start(): Promise<void> {
     await new Promise<void>((resolve) => this._server.listen(this.port, '127.0.0.1', resolve));
     const address = this._server.address();
     this.address = `127.0.0.1:${typeof address === 'object' && address ? address.port : 0}`;
   }
 
-  /** Announces itself to a daemon; returns the status of the answer. */
+  /** Announces the target to a daemon; returns the response status. */
   async sendHeartbeat(control: string, state: 'ready' | 'draining' = 'ready', sequence = ++this._sequence): Promise<number> {
     const body = JSON.stringify({
       address: this.address,
@@ -97,14 +96,14 @@
     return res.statusCode;
   }
 
-  /** Says that it leaves for good. */
+  /** Deregisters the target from a daemon; returns the response status. */
   async deregister(control: string): Promise<number> {
     const res = await request(`http://${control}/v1/instances/${this.instance}`, { method: 'DELETE' });
     await res.body.dump();
     return res.statusCode;
   }
 
-  /** Stops at once, as a process does that crashes: connections end without an answer, and new ones are refused. */
+  /** Stops like a crashed process: connections close without a response, and new ones are refused. */
   close(): void {
     this._server.close();
     this._server.closeAllConnections();
