--- a/packages/cli/src/client/configCommands.ts
+++ b/packages/cli/src/client/configCommands.ts
@@ -11,12 +11,12 @@
 import { mergePatch } from '@gentiandrum/core';
 import { configSchema, meshConfigSchema, type PatchRequest, findWorkspaceIssues } from '@gentiandrum/protocol';
 import { parse, stringify } from 'yaml';
-import { DaemonClient, type DaemonError, errorText } from './daemonClient.js';
+import { DaemonClient, type DaemonError, formatError } from './daemonClient.js';
 import { CommandError, kExit, printJson, printLine, printTable } from './output.js';
-import { askEach, type StatusAnswer } from './statusCommands.js';
+import { fetchSelfResponses, type StatusResponse } from './statusCommands.js';
 
-const kSubmitTries = 5;
-const kSubmitPauseMs = 400;
+const kMaxSubmitAttempts = 5;
+const kSubmitRetryDelayMs = 400;
 const kWaitPollMs = 200;
 
 /** Options that all commands share. */
@@ -25,7 +25,7 @@
   json?: boolean;
 }
 
-interface ConfigAnswer {
+interface ConfigResponse {
   version: number;
   config: unknown;
 }
@@ -35,7 +35,7 @@
   file: string,
   options: CommonOptions & { base?: number; wait?: boolean; timeout: number; author?: string },
 ): Promise<void> {
-  const base = wholeNumber('--base', options.base);
+  const base = parseWholeNumber('--base', options.base);
   const patch = readYaml(file);
   if (typeof patch !== 'object' || patch === null || Array.isArray(patch)) {
     throw new CommandError(kExit.usage, `expected ${file} to hold a map of settings to change, got ${JSON.stringify(patch)}`);
@@ -51,20 +51,20 @@
   target: string,
   options: CommonOptions & { wait?: boolean; timeout: number; undo?: boolean; author?: string },
 ): Promise<void> {
-  const { version } = unwrap(await new DaemonClient(options.daemon).get<ConfigAnswer>('/-/config'));
+  const { version } = unwrap(await new DaemonClient(options.daemon).get<ConfigResponse>('/-/config'));
   const patch = { targets: { [target]: options.undo === true ? null : 'leaving' } };
   await submit({ patchId: randomUUID(), base: version, author: options.author ?? userInfo().username, patch }, options);
 }
 
 /** Prints the configuration. */
 export async function get(options: CommonOptions & { at?: number }): Promise<void> {
-  const answer = await fetchConfig(options.daemon, options.at);
+  const response = await fetchConfig(options.daemon, options.at);
   if (options.json === true) {
-    printJson(answer);
+    printJson(response);
     return;
   }
-  printLine(`# version ${answer.version}`);
-  printLine(stringify(answer.config).trimEnd());
+  printLine(`# version ${response.version}`);
+  printLine(stringify(response.config).trimEnd());
 }
 
 /** Prints what a patch would change. */
@@ -72,14 +72,14 @@
   const patch = readYaml(file);
   const { version, config } = await fetchConfig(options.daemon);
   const after = mergePatch(config, patch);
-  const issues = issuesOf(after);
-  const changes = changed(config, after, '');
+  const issues = findIssues(after);
+  const changes = diffValues(config, after, '');
   if (options.json === true) {
     printJson({ base: version, changes, issues });
   } else {
     printLine(`# against version ${version}`);
     for (const { path, before, after: now } of changes) {
-      printLine(`${path}: ${valueText(before)} -> ${valueText(now)}`);
+      printLine(`${path}: ${formatValue(before)} -> ${formatValue(now)}`);
     }
     issues.forEach((issue) => {
       printLine(`invalid: ${issue}`);
@@ -92,22 +92,22 @@
 
 /** Prints the latest versions. */
 export async function history(options: CommonOptions): Promise<void> {
-  const answer = unwrap(
+  const response = unwrap(
     await new DaemonClient(options.daemon).get<{ versions: { version: number; author: string; patchId: string }[] }>('/-/history'),
   );
   if (options.json === true) {
-    printJson(answer);
+    printJson(response);
     return;
   }
   printTable(
     ['VERSION', 'AUTHOR', 'PATCH'],
-    answer.versions.map(({ version, author, patchId }) => [String(version), author, patchId]),
+    response.versions.map(({ version, author, patchId }) => [String(version), author, patchId]),
   );
 }
 
 /** Checks a file that holds a whole configuration, without any daemon. */
 export function validate(file: string, options: { json?: boolean }): void {
-  const issues = issuesOf(readYaml(file));
+  const issues = findIssues(readYaml(file));
   if (options.json === true) {
     printJson({ valid: issues.length === 0, issues });
   } else {
@@ -127,21 +127,21 @@
 async function submit(patch: PatchRequest, options: CommonOptions & { wait?: boolean; timeout: number }): Promise<void> {
   const client = new DaemonClient(options.daemon);
   let version: number | undefined;
-  for (let i = 0; version === undefined; i++) {
-    const answer = await client.post<{ version: number }>('/-/patches', patch);
-    if (answer.ok) {
-      version = answer.val.version;
-    } else if (i + 1 >= kSubmitTries || !mayAskAgain(answer.val)) {
-      throw submitError(answer.val);
+  for (let attempt = 0; version === undefined; attempt++) {
+    const response = await client.post<{ version: number }>('/-/patches', patch);
+    if (response.ok) {
+      version = response.val.version;
+    } else if (attempt + 1 >= kMaxSubmitAttempts || !isRetryable(response.val)) {
+      throw toCommandError(response.val);
     } else {
-      await pause(kSubmitPauseMs);
+      await pause(kSubmitRetryDelayMs);
     }
   }
-  const missing = options.wait === true ? await waitEverywhere(client, version, options.timeout) : undefined;
-  reportApplied(version, missing, options);
+  const report = options.wait === true ? await waitUntilInForce(client, version, options.timeout) : undefined;
+  printApplyResult(version, report, options);
 }
 
-function reportApplied(version: number, report: WaitReport | undefined, options: CommonOptions): void {
+function printApplyResult(version: number, report: WaitReport | undefined, options: CommonOptions): void {
   if (options.json === true) {
     printJson({ version, ...report });
   } else {
@@ -160,18 +160,18 @@
   missing: string[];
 }
 
-async function waitEverywhere(client: DaemonClient, version: number, seconds: number): Promise<WaitReport> {
-  const end = performance.now() + seconds * 1_000;
+async function waitUntilInForce(client: DaemonClient, version: number, seconds: number): Promise<WaitReport> {
+  const deadline = performance.now() + seconds * 1_000;
   for (;;) {
-    const { members } = unwrap(await client.get<StatusAnswer>('/-/status'));
-    const living = members.filter((member) => member.state !== 'left');
-    const selves = await askEach(living);
-    const holds = ({ id }: { id: string }): boolean => (selves.get(id)?.version ?? 0) >= version;
-    const missing = living.filter((member) => !holds(member)).map((member) => member.id);
-    if (missing.length === 0 || performance.now() > end) {
-      const zones = [...new Set(living.map((member) => member.zone))].sort().map((zone) => {
-        const inZone = living.filter((member) => member.zone === zone);
-        return { zone, holding: inZone.filter(holds).length, of: inZone.length };
+    const { members } = unwrap(await client.get<StatusResponse>('/-/status'));
+    const remainingMembers = members.filter((member) => member.state !== 'left');
+    const selfResponses = await fetchSelfResponses(remainingMembers);
+    const isInForceOn = ({ id }: { id: string }): boolean => (selfResponses.get(id)?.version ?? 0) >= version;
+    const missing = remainingMembers.filter((member) => !isInForceOn(member)).map((member) => member.id);
+    if (missing.length === 0 || performance.now() > deadline) {
+      const zones = [...new Set(remainingMembers.map((member) => member.zone))].sort().map((zone) => {
+        const inZone = remainingMembers.filter((member) => member.zone === zone);
+        return { zone, holding: inZone.filter(isInForceOn).length, of: inZone.length };
       });
       return { zones, missing };
     }
@@ -179,30 +179,30 @@
   }
 }
 
-function mayAskAgain(error: DaemonError): boolean {
+function isRetryable(error: DaemonError): boolean {
   return error.kind === 'problem' && (error.error === 'patch_unsettled' || error.error === 'log_unavailable');
 }
 
-function submitError(error: DaemonError): CommandError {
+function toCommandError(error: DaemonError): CommandError {
   if (error.kind === 'unreachable') {
-    return new CommandError(kExit.unavailable, errorText(error));
+    return new CommandError(kExit.unavailable, formatError(error));
   }
   switch (error.error) {
     case 'patch_conflict':
-      return new CommandError(kExit.conflict, errorText(error));
+      return new CommandError(kExit.conflict, formatError(error));
     case 'patch_invalid':
-      return new CommandError(kExit.usage, errorText(error));
+      return new CommandError(kExit.usage, formatError(error));
     case 'patch_unsettled':
     case 'log_unavailable':
-      return new CommandError(kExit.unavailable, errorText(error));
+      return new CommandError(kExit.unavailable, formatError(error));
     default:
-      return new CommandError(kExit.failed, errorText(error));
+      return new CommandError(kExit.failed, formatError(error));
   }
 }
 
-async function fetchConfig(daemon: string, at?: number): Promise<ConfigAnswer> {
-  const query = at === undefined ? '' : `?at=${wholeNumber('--at', at)}`;
-  return unwrap(await new DaemonClient(daemon).get<ConfigAnswer>(`/-/config${query}`));
+async function fetchConfig(daemon: string, at?: number): Promise<ConfigResponse> {
+  const query = at === undefined ? '' : `?at=${parseWholeNumber('--at', at)}`;
+  return unwrap(await new DaemonClient(daemon).get<ConfigResponse>(`/-/config${query}`));
 }
 
 function readYaml(file: string): unknown {
@@ -214,15 +214,19 @@
 }
 
 /** Faults of a configuration; one with routes is that of the routing daemon. */
-function issuesOf(config: unknown): string[] {
+function findIssues(config: unknown): string[] {
   if (!isMap(config) || !('routes' in config)) {
-    return issuesFrom(configSchema.safeParse(config));
+    return formatIssues(configSchema.safeParse(config));
   }
   const checked = meshConfigSchema.safeParse(config);
-  return checked.success ? findWorkspaceIssues(checked.data) : issuesFrom(checked);
+  return checked.success ? findWorkspaceIssues(checked.data) : formatIssues(checked);
 }
 
-function issuesFrom({ error }: { error?: { issues: readonly { path: readonly PropertyKey[]; message: string }[] } | undefined }): string[] {
+function formatIssues({
+  error,
+}: {
+  error?: { issues: readonly { path: readonly PropertyKey[]; message: string }[] } | undefined;
+}): string[] {
   return (error?.issues ?? []).map((issue) => `${issue.path.join('.') || 'file'}: ${issue.message}`);
 }
 
@@ -232,15 +236,15 @@
   after: unknown;
 }
 
-function changed(before: unknown, after: unknown, path: string): Change[] {
+function diffValues(before: unknown, after: unknown, path: string): Change[] {
   if (isMap(before) && isMap(after)) {
     const keys = [...new Set([...Object.keys(before), ...Object.keys(after)])].sort();
-    return keys.flatMap((key) => changed(before[key], after[key], path === '' ? key : `${path}.${key}`));
+    return keys.flatMap((key) => diffValues(before[key], after[key], path === '' ? key : `${path}.${key}`));
   }
   return JSON.stringify(before) === JSON.stringify(after) ? [] : [{ path, before, after }];
 }
 
-function valueText(value: unknown): string {
+function formatValue(value: unknown): string {
   return value === undefined ? 'absent' : JSON.stringify(value);
 }
 
@@ -249,7 +253,7 @@
 }
 
 /** Value of an option that must be a whole number. */
-export function wholeNumber(option: string, value: unknown): number {
+export function parseWholeNumber(option: string, value: unknown): number {
   const number = typeof value === 'string' && value !== '' ? Number(value) : value;
   if (typeof number !== 'number' || !Number.isInteger(number) || number < 0) {
     throw new CommandError(
@@ -261,12 +265,12 @@
 }
 
 /** The answer, or the error that ends the command. */
-export function unwrap<T>(answer: { ok: true; val: T } | { ok: false; val: DaemonError }): T {
-  if (answer.ok) {
-    return answer.val;
+export function unwrap<T>(response: { ok: true; val: T } | { ok: false; val: DaemonError }): T {
+  if (response.ok) {
+    return response.val;
   }
-  const code = answer.val.kind === 'unreachable' ? kExit.unavailable : kExit.failed;
-  throw new CommandError(code, errorText(answer.val));
+  const code = response.val.kind === 'unreachable' ? kExit.unavailable : kExit.failed;
+  throw new CommandError(code, formatError(response.val));
 }
 
 function pause(ms: number): Promise<void> {
--- a/packages/cli/src/client/daemonClient.ts
+++ b/packages/cli/src/client/daemonClient.ts
@@ -8,7 +8,7 @@
 import { Err, Ok, type Result } from '@gentiandrum/core';
 import { request } from 'undici';
 
-const kTimeoutMs = 10_000;
+const kDefaultTimeoutMs = 10_000;
 
 /** Error of a call to a daemon. */
 export type DaemonError =
@@ -21,7 +21,7 @@
 export class DaemonClient {
   constructor(
     readonly address: string,
-    private readonly _timeoutMs = kTimeoutMs,
+    private readonly _timeoutMs = kDefaultTimeoutMs,
   ) {}
 
   /** GETs a JSON answer. */
@@ -44,12 +44,18 @@
         bodyTimeout: this._timeoutMs,
       };
       const res = await request(`http://${this.address}${path}`, options);
-      const answer = (await res.body.json()) as Record<string, unknown>;
+      const responseBody = (await res.body.json()) as Record<string, unknown>;
       if (res.statusCode < 400) {
-        return Ok(answer as T);
+        return Ok(responseBody as T);
       }
-      const { kind, detail, message } = answer;
-      return Err({ kind: 'problem', status: res.statusCode, error: textOf(kind), detail: textOf(detail ?? message), body: answer });
+      const { kind, detail, message } = responseBody;
+      return Err({
+        kind: 'problem',
+        status: res.statusCode,
+        error: stringOrEmpty(kind),
+        detail: stringOrEmpty(detail ?? message),
+        body: responseBody,
+      });
     } catch (err) {
       return Err({ kind: 'unreachable', address: this.address, cause: err instanceof Error ? err.message : String(err) });
     }
@@ -57,7 +63,7 @@
 }
 
 /** Text of an error for people. */
-export function errorText(error: DaemonError): string {
+export function formatError(error: DaemonError): string {
   switch (error.kind) {
     case 'unreachable':
       return `expected a daemon at ${error.address}, got no answer (${error.cause})`;
@@ -66,6 +72,6 @@
   }
 }
 
-function textOf(value: unknown): string {
+function stringOrEmpty(value: unknown): string {
   return typeof value === 'string' ? value : '';
 }
--- a/packages/cli/src/client/main.ts
+++ b/packages/cli/src/client/main.ts
@@ -11,21 +11,21 @@
 import { explain, status } from './statusCommands.js';
 import { release, suspects } from './suspectCommands.js';
 
-const kDaemon = process.env.GENTIANDRUM_DAEMON ?? '127.0.0.1:7400';
-const kWaitSeconds = 10;
+const kDefaultDaemon = process.env.GENTIANDRUM_DAEMON ?? '127.0.0.1:7400';
+const kDefaultWaitSeconds = 10;
 
 /** Runs one command; gives the exit code. */
 export async function main(argv: string[]): Promise<ExitCode> {
   const cli = cac('gentiandrum');
-  cli.option('--daemon <address>', 'Any daemon, IP:PORT; GENTIANDRUM_DAEMON sets the default', { default: kDaemon });
+  cli.option('--daemon <address>', 'Any daemon, IP:PORT; GENTIANDRUM_DAEMON sets the default', { default: kDefaultDaemon });
   cli.option('--json', 'Print JSON');
   cli.help();
-  const waiting = (command: ReturnType<typeof cli.command>): ReturnType<typeof cli.command> =>
+  const addWaitOptions = (command: ReturnType<typeof cli.command>): ReturnType<typeof cli.command> =>
     command
       .option('--wait', 'Wait until the version is in force on every daemon')
-      .option('--timeout <seconds>', 'Longest wait', { default: kWaitSeconds })
+      .option('--timeout <seconds>', 'Longest wait', { default: kDefaultWaitSeconds })
       .option('--author <name>', 'Author of the change; the login name unless given');
-  waiting(cli.command('apply <file>', 'Submit a patch (RFC 7396, YAML) against a version'))
+  addWaitOptions(cli.command('apply <file>', 'Submit a patch (RFC 7396, YAML) against a version'))
     .option('--base <version>', 'Version that the patch was written against')
     .example('  gentiandrum apply surge.yaml --base 41 --wait')
     .action((file: string, options: CommonOptions & { timeout: number }) => apply(file, options));
@@ -46,7 +46,7 @@
       validate(file, options);
     });
   cli.command('status', 'Print zones, daemons, versions, targets and levels').action((options: CommonOptions) => status(options));
-  waiting(cli.command('drain <target>', 'Let a target take no new work'))
+  addWaitOptions(cli.command('drain <target>', 'Let a target take no new work'))
     .option('--undo', 'Let it take work again')
     .example('  gentiandrum drain hazards-2 --wait')
     .action((target: string, options: CommonOptions & { timeout: number }) => drain(target, options));
--- a/packages/cli/src/client/statusCommands.ts
+++ b/packages/cli/src/client/statusCommands.ts
@@ -24,17 +24,17 @@
 }
 
 /** What a daemon tells of itself. */
-export interface SelfAnswer {
+export interface SelfResponse {
   id: string;
   version: number;
   level: number;
 }
 
-const kAskedAtOnce = 32;
-const kSelfTimeoutMs = 1_000;
+const kMaxConcurrentRequests = 32;
+const kSelfRequestTimeoutMs = 1_000;
 
 /** Answer of a daemon to a status request. */
-export interface StatusAnswer {
+export interface StatusResponse {
   daemon: string;
   version: number;
   members: MemberRow[];
@@ -53,14 +53,14 @@
 
 /** Prints zones, daemons, versions, targets and levels. */
 export async function status(options: CommonOptions): Promise<void> {
-  const answer = unwrap(await new DaemonClient(options.daemon).get<StatusAnswer>('/-/status'));
+  const response = unwrap(await new DaemonClient(options.daemon).get<StatusResponse>('/-/status'));
   if (options.json === true) {
-    printJson(answer);
+    printJson(response);
     return;
   }
-  const { members, openLevel } = answer;
-  const selves = await askEach(members.filter((member) => member.state === 'alive'));
-  printLine(`seen by ${answer.daemon}, configuration version ${answer.version}`);
+  const { members, openLevel } = response;
+  const selfResponses = await fetchSelfResponses(members.filter((member) => member.state === 'alive'));
+  printLine(`seen by ${response.daemon}, configuration version ${response.version}`);
   const rows = [...members].sort((a, b) => (`${a.zone}/${a.id}` < `${b.zone}/${b.id}` ? -1 : 1));
   printTable(
     ['ZONE', 'DAEMON', 'STATE', 'VERSION', 'SERVICE', 'TARGET', 'TAKES WORK', 'SLOTS', 'ADMITS'],
@@ -68,46 +68,46 @@
       m.zone,
       m.id,
       m.state,
-      String(selves.get(m.id)?.version ?? m.configVersion),
+      String(selfResponses.get(m.id)?.version ?? m.configVersion),
       m.service || '-',
       m.target || '-',
       m.targetState,
       String(m.slots),
-      admits(selves.get(m.id)?.level, openLevel),
+      formatAdmission(selfResponses.get(m.id)?.level, openLevel),
     ]),
   );
 }
 
 /** What each of some daemons tells of itself; those that don't answer are left out. */
-export async function askEach(members: readonly MemberRow[]): Promise<Map<string, SelfAnswer>> {
-  const answers = new Map<string, SelfAnswer>();
-  const waiting = [...members];
+export async function fetchSelfResponses(members: readonly MemberRow[]): Promise<Map<string, SelfResponse>> {
+  const responses = new Map<string, SelfResponse>();
+  const pending = [...members];
   const worker = async (): Promise<void> => {
-    for (let member = waiting.pop(); member; member = waiting.pop()) {
-      const answer = await new DaemonClient(member.address, kSelfTimeoutMs).get<SelfAnswer>('/-/self');
-      if (answer.ok) {
-        answers.set(member.id, answer.val);
+    for (let member = pending.pop(); member; member = pending.pop()) {
+      const response = await new DaemonClient(member.address, kSelfRequestTimeoutMs).get<SelfResponse>('/-/self');
+      if (response.ok) {
+        responses.set(member.id, response.val);
       }
     }
   };
-  await Promise.all(Array.from({ length: kAskedAtOnce }, worker));
-  return answers;
+  await Promise.all(Array.from({ length: kMaxConcurrentRequests }, worker));
+  return responses;
 }
 
-function admits(level: number | undefined, openLevel: number): string {
+function formatAdmission(level: number | undefined, openLevel: number): string {
   return level === undefined ? '?' : `${Math.round((level / openLevel) * 100)}%`;
 }
 
 /** Prints what was decided for a request, and why. */
 export async function explain(request: string, options: CommonOptions): Promise<void> {
   const client = new DaemonClient(options.daemon);
-  const { members } = unwrap(await client.get<StatusAnswer>('/-/status'));
-  const first = members.find((member) => member.id === request.split('~')[0]);
-  const entry = await decisionsAt(first?.address ?? options.daemon, request);
-  const targets = new Set(entry.flatMap(({ target }) => (target === undefined ? [] : [target])));
-  const gates = members.filter((member) => targets.has(member.target) && member.id !== first?.id);
-  const more = await Promise.all(gates.map((member) => decisionsAt(member.address, request)));
-  const all = [...entry, ...more.flat()].sort((a, b) => a.at - b.at);
+  const { members } = unwrap(await client.get<StatusResponse>('/-/status'));
+  const entryDaemon = members.find((member) => member.id === request.split('~')[0]);
+  const entryDecisions = await fetchDecisions(entryDaemon?.address ?? options.daemon, request);
+  const targets = new Set(entryDecisions.flatMap(({ target }) => (target === undefined ? [] : [target])));
+  const gateDaemons = members.filter((member) => targets.has(member.target) && member.id !== entryDaemon?.id);
+  const gateDecisions = await Promise.all(gateDaemons.map((member) => fetchDecisions(member.address, request)));
+  const all = [...entryDecisions, ...gateDecisions.flat()].sort((a, b) => a.at - b.at);
   if (all.length === 0) {
     throw new CommandError(kExit.failed, `expected a request of the last minutes, got "${request}": no daemon remembers it`);
   }
@@ -121,7 +121,7 @@
   }
 }
 
-async function decisionsAt(address: string, request: string): Promise<DecisionRow[]> {
-  const answer = await new DaemonClient(address).get<{ decisions: DecisionRow[] }>(`/-/decisions/${encodeURIComponent(request)}`);
-  return answer.ok ? answer.val.decisions : [];
+async function fetchDecisions(address: string, request: string): Promise<DecisionRow[]> {
+  const response = await new DaemonClient(address).get<{ decisions: DecisionRow[] }>(`/-/decisions/${encodeURIComponent(request)}`);
+  return response.ok ? response.val.decisions : [];
 }
--- a/packages/cli/src/client/suspectCommands.ts
+++ b/packages/cli/src/client/suspectCommands.ts
@@ -12,14 +12,14 @@
 
 /** Prints the kinds that something is held against. */
 export async function suspects(options: CommonOptions): Promise<void> {
-  const answer = unwrap(await new DaemonClient(options.daemon).get<{ suspects: ListedSuspect[] }>('/-/suspects'));
+  const response = unwrap(await new DaemonClient(options.daemon).get<{ suspects: ListedSuspect[] }>('/-/suspects'));
   if (options.json === true) {
-    printJson(answer);
+    printJson(response);
     return;
   }
   printTable(
     ['KIND', 'ROUTE', 'VERDICT', 'ENDS', 'LATEST'],
-    answer.suspects.map(({ fingerprint, route, verdict, marks }) => [
+    response.suspects.map(({ fingerprint, route, verdict, marks }) => [
       fingerprint,
       route,
       verdict,
@@ -30,12 +30,12 @@
 }
 
 /** Lets a kind run again, on all daemons. */
-export async function release(kind: string, options: CommonOptions): Promise<void> {
-  const path = `/-/suspects/${encodeURIComponent(kind)}/release`;
-  const answer = unwrap(await new DaemonClient(options.daemon).post<{ released: string }>(path, {}));
+export async function release(fingerprint: string, options: CommonOptions): Promise<void> {
+  const path = `/-/suspects/${encodeURIComponent(fingerprint)}/release`;
+  const response = unwrap(await new DaemonClient(options.daemon).post<{ released: string }>(path, {}));
   if (options.json === true) {
-    printJson(answer);
+    printJson(response);
     return;
   }
-  printLine(`released ${answer.released}`);
+  printLine(`released ${response.released}`);
 }
