--- a/packages/cli/src/client/configCommands.ts
+++ b/packages/cli/src/client/configCommands.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Commands about the configuration: apply, get, diff, history, validate, drain. */
+/** Commands that read or change the configuration: apply, get, diff, history, validate, drain. */
 
 import { randomUUID } from 'node:crypto';
 import { readFileSync } from 'node:fs';
@@ -19,7 +19,7 @@
 const kSubmitRetryDelayMs = 400;
 const kWaitPollMs = 200;
 
-/** Options that all commands share. */
+/** Options common to all commands that contact a daemon. */
 export interface CommonOptions {
   daemon: string;
   json?: boolean;
@@ -30,7 +30,7 @@
   config: unknown;
 }
 
-/** Submits the patch in a file against a version. */
+/** Submits the patch in a file against a base version. */
 export async function apply(
   file: string,
   options: CommonOptions & { base?: number; wait?: boolean; timeout: number; author?: string },
@@ -46,7 +46,7 @@
   );
 }
 
-/** Marks a target as leaving. */
+/** Marks a target as draining, or undoes that. */
 export async function drain(
   target: string,
   options: CommonOptions & { wait?: boolean; timeout: number; undo?: boolean; author?: string },
@@ -86,11 +86,11 @@
     });
   }
   if (issues.length > 0) {
-    throw new CommandError(kExit.usage, 'the patch gives an invalid configuration');
+    throw new CommandError(kExit.usage, 'the patch results in an invalid configuration');
   }
 }
 
-/** Prints the latest versions. */
+/** Prints the most recent versions. */
 export async function history(options: CommonOptions): Promise<void> {
   const response = unwrap(
     await new DaemonClient(options.daemon).get<{ versions: { version: number; author: string; patchId: string }[] }>('/-/history'),
@@ -105,7 +105,7 @@
   );
 }
 
-/** Checks a file that holds a whole configuration, without any daemon. */
+/** Validates a file with a complete configuration locally. */
 export function validate(file: string, options: { json?: boolean }): void {
   const issues = findIssues(readYaml(file));
   if (options.json === true) {
@@ -116,14 +116,14 @@
     });
   }
   if (issues.length > 0) {
-    throw new CommandError(kExit.usage, `${file} has ${issues.length} faults`);
+    throw new CommandError(kExit.usage, `${file} has ${issues.length} issues`);
   }
   if (options.json !== true) {
     printLine(`${file}: the configuration is valid`);
   }
 }
 
-/** Submits a patch; when its fate is unknown it is asked again under the same patch id. */
+/** Submits a patch; retries with the same patch id while its outcome is unknown. */
 async function submit(patch: PatchRequest, options: CommonOptions & { wait?: boolean; timeout: number }): Promise<void> {
   const client = new DaemonClient(options.daemon);
   let version: number | undefined;
@@ -213,7 +213,7 @@
   }
 }
 
-/** Faults of a configuration; one with routes is that of the routing daemon. */
+/** Validates a configuration; one with `routes` is checked against the schema of the routing daemon. */
 function findIssues(config: unknown): string[] {
   if (!isMap(config) || !('routes' in config)) {
     return formatIssues(configSchema.safeParse(config));
@@ -252,7 +252,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** Value of an option that must be a whole number. */
+/** Parses the value of an option as a non-negative integer. */
 export function parseWholeNumber(option: string, value: unknown): number {
   const number = typeof value === 'string' && value !== '' ? Number(value) : value;
   if (typeof number !== 'number' || !Number.isInteger(number) || number < 0) {
@@ -264,7 +264,7 @@
   return number;
 }
 
-/** The answer, or the error that ends the command. */
+/** Returns the value of a response, or throws a `CommandError` with the matching exit code. */
 export function unwrap<T>(response: { ok: true; val: T } | { ok: false; val: DaemonError }): T {
   if (response.ok) {
     return response.val;
--- a/packages/cli/src/client/daemonClient.ts
+++ b/packages/cli/src/client/daemonClient.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Talks to a daemon over HTTP. */
+/** HTTP client of a daemon. */
 
 import { Err, Ok, type Result } from '@gentiandrum/core';
 import { request } from 'undici';
@@ -12,9 +12,9 @@
 
 /** Error of a call to a daemon. */
 export type DaemonError =
-  /** Nothing answered at the address. */
+  /** No usable response from the address. */
   | { kind: 'unreachable'; address: string; cause: string }
-  /** The daemon refused; fields of its problem answer. */
+  /** The daemon responded with an error; fields of its problem document. */
   | { kind: 'problem'; status: number; error: string; detail: string; body: Record<string, unknown> };
 
 /** Client of one daemon. */
@@ -24,12 +24,12 @@
     private readonly _timeoutMs = kDefaultTimeoutMs,
   ) {}
 
-  /** GETs a JSON answer. */
+  /** Sends a GET request and parses the JSON response. */
   get<T>(path: string): Promise<Result<T, DaemonError>> {
     return this._call<T>('GET', path);
   }
 
-  /** POSTs a JSON body. */
+  /** Sends a POST request with a JSON body and parses the JSON response. */
   post<T>(path: string, body: unknown): Promise<Result<T, DaemonError>> {
     return this._call<T>('POST', path, JSON.stringify(body));
   }
@@ -62,11 +62,11 @@
   }
 }
 
-/** Text of an error for people. */
+/** Formats an error for display. */
 export function formatError(error: DaemonError): string {
   switch (error.kind) {
     case 'unreachable':
-      return `expected a daemon at ${error.address}, got no answer (${error.cause})`;
+      return `expected a daemon at ${error.address}, got no response (${error.cause})`;
     case 'problem':
       return `${error.error || `status ${error.status}`}: ${error.detail}`;
   }
--- a/packages/cli/src/client/main.ts
+++ b/packages/cli/src/client/main.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Command line of `gentiandrum`. */
+/** Command-line interface of `gentiandrum`. */
 
 import { cac } from 'cac';
 import { apply, type CommonOptions, diff, drain, get, history, validate } from './configCommands.js';
@@ -14,52 +14,52 @@
 const kDefaultDaemon = process.env.GENTIANDRUM_DAEMON ?? '127.0.0.1:7400';
 const kDefaultWaitSeconds = 10;
 
-/** Runs one command; gives the exit code. */
+/** Runs a command and returns its exit code. */
 export async function main(argv: string[]): Promise<ExitCode> {
   const cli = cac('gentiandrum');
-  cli.option('--daemon <address>', 'Any daemon, IP:PORT; GENTIANDRUM_DAEMON sets the default', { default: kDefaultDaemon });
+  cli.option('--daemon <address>', 'Address of any daemon, IP:PORT; GENTIANDRUM_DAEMON sets the default', { default: kDefaultDaemon });
   cli.option('--json', 'Print JSON');
   cli.help();
   const addWaitOptions = (command: ReturnType<typeof cli.command>): ReturnType<typeof cli.command> =>
     command
       .option('--wait', 'Wait until the version is in force on every daemon')
-      .option('--timeout <seconds>', 'Longest wait', { default: kDefaultWaitSeconds })
-      .option('--author <name>', 'Author of the change; the login name unless given');
-  addWaitOptions(cli.command('apply <file>', 'Submit a patch (RFC 7396, YAML) against a version'))
-    .option('--base <version>', 'Version that the patch was written against')
+      .option('--timeout <seconds>', 'Maximum time to wait', { default: kDefaultWaitSeconds })
+      .option('--author <name>', 'Author of the change; defaults to the login name');
+  addWaitOptions(cli.command('apply <file>', 'Submit a patch (RFC 7396 merge patch in YAML) against a base version'))
+    .option('--base <version>', 'Version that the patch is based on')
     .example('  gentiandrum apply surge.yaml --base 41 --wait')
     .action((file: string, options: CommonOptions & { timeout: number }) => apply(file, options));
   cli
     .command('get', 'Print the configuration')
-    .option('--at <version>', 'An earlier version')
+    .option('--at <version>', 'Version to print instead of the current one')
     .example('  gentiandrum get --at 40 --json')
     .action((options: CommonOptions) => get(options));
   cli
-    .command('diff <file>', 'Print what a patch would change')
+    .command('diff <file>', 'Print the changes that a patch would make')
     .example('  gentiandrum diff surge.yaml')
     .action((file: string, options: CommonOptions) => diff(file, options));
-  cli.command('history', 'Print the latest versions').action((options: CommonOptions) => history(options));
+  cli.command('history', 'Print the most recent versions').action((options: CommonOptions) => history(options));
   cli
-    .command('validate <file>', 'Check a whole configuration, without a daemon')
+    .command('validate <file>', 'Validate a complete configuration without contacting a daemon')
     .example('  gentiandrum validate examples/tengerline.yaml')
     .action((file: string, options: CommonOptions) => {
       validate(file, options);
     });
-  cli.command('status', 'Print zones, daemons, versions, targets and levels').action((options: CommonOptions) => status(options));
-  addWaitOptions(cli.command('drain <target>', 'Let a target take no new work'))
-    .option('--undo', 'Let it take work again')
+  cli.command('status', 'Print zones, daemons, versions, targets and admission levels').action((options: CommonOptions) => status(options));
+  addWaitOptions(cli.command('drain <target>', 'Stop sending new requests to a target'))
+    .option('--undo', 'Resume sending requests to the target')
     .example('  gentiandrum drain hazards-2 --wait')
     .action((target: string, options: CommonOptions & { timeout: number }) => drain(target, options));
   cli
-    .command('explain <request>', 'Print what was decided for a request, and why')
+    .command('explain <request>', 'Print the decisions made for a request and their reasons')
     .example('  gentiandrum explain host-1~lq3x~9')
     .action((request: string, options: CommonOptions) => explain(request, options));
   cli
-    .command('suspects', 'Print kinds of requests that targets ended by, and which of them are held back')
+    .command('suspects', 'Print request fingerprints suspected of crashing targets and whether they are quarantined')
     .example('  gentiandrum suspects --daemon 10.1.0.8:9464')
     .action((options: CommonOptions) => suspects(options));
   cli
-    .command('release <kind>', 'Let a kind of request run again that is held back')
+    .command('release <kind>', 'Release a suspected or quarantined request fingerprint')
     .example('  gentiandrum release 1k2x9ab-7qz03f')
     .action((kind: string, options: CommonOptions) => release(kind, options));
   return runCommand(cli, argv);
--- a/packages/cli/src/client/output.ts
+++ b/packages/cli/src/client/output.ts
@@ -3,27 +3,26 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What commands print, and the exit codes they end with. */
+/** Output and exit codes of commands. */
 
 /** Exit codes, documented in docs/OPERATORS.md. */
 export const kExit = {
   ok: 0,
-  /** A fault of the client or an answer that can't be read. */
+  /** Client error, or an error response without an exit code of its own. */
   failed: 1,
-  /** Wrong use: unknown command, missing argument, unreadable or invalid file. */
+  /** Usage error: unknown command, missing argument, unreadable or invalid file. */
   usage: 2,
-  /** The patch lost to another, or its base is not the current version. */
+  /** The patch conflicts with another one, or its base is not the current version. */
   conflict: 3,
-  /** The daemon, or the platform's log behind it, can't be reached. */
+  /** The daemon or the platform's log is unavailable. */
   unavailable: 4,
-  /** The version is not in force everywhere yet. */
+  /** The version is not yet in force on all daemons. */
   incomplete: 5,
 } as const;
 
-/** One of the exit codes. */
 export type ExitCode = (typeof kExit)[keyof typeof kExit];
 
-/** An end of a command that is not success. */
+/** Error that terminates a command with an exit code. */
 export class CommandError extends Error {
   constructor(
     readonly code: ExitCode,
@@ -33,17 +32,15 @@
   }
 }
 
-/** Prints a value as JSON. */
 export function printJson(value: unknown): void {
   process.stdout.write(`${JSON.stringify(value, null, 2)}\n`);
 }
 
-/** Prints a line. */
 export function printLine(text = ''): void {
   process.stdout.write(`${text}\n`);
 }
 
-/** Prints rows in columns. */
+/** Prints rows as aligned columns. */
 export function printTable(head: string[], rows: string[][]): void {
   const all = [head, ...rows];
   const widths = head.map((_, column) => Math.max(...all.map((row) => (row[column] ?? '').length)));
--- a/packages/cli/src/client/statusCommands.ts
+++ b/packages/cli/src/client/statusCommands.ts
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Commands that show what the system does: status, explain. */
+/** Commands that show the state and the decisions of the daemons: status, explain. */
 
 import { unwrap, type CommonOptions } from './configCommands.js';
 import { DaemonClient } from './daemonClient.js';
 import { CommandError, kExit, printJson, printLine, printTable } from './output.js';
 
-/** A daemon as the status lists it. */
+/** Daemon as listed in a status response. */
 export interface MemberRow {
   id: string;
   address: string;
@@ -23,7 +23,7 @@
   configVersion: number;
 }
 
-/** What a daemon tells of itself. */
+/** Response of a daemon about its own state. */
 export interface SelfResponse {
   id: string;
   version: number;
@@ -33,7 +33,7 @@
 const kMaxConcurrentRequests = 32;
 const kSelfRequestTimeoutMs = 1_000;
 
-/** Answer of a daemon to a status request. */
+/** Response of a daemon to a status request. */
 export interface StatusResponse {
   daemon: string;
   version: number;
@@ -51,7 +51,7 @@
   at: number;
 }
 
-/** Prints zones, daemons, versions, targets and levels. */
+/** Prints zones, daemons, versions, targets and admission levels. */
 export async function status(options: CommonOptions): Promise<void> {
   const response = unwrap(await new DaemonClient(options.daemon).get<StatusResponse>('/-/status'));
   if (options.json === true) {
@@ -78,7 +78,7 @@
   );
 }
 
-/** What each of some daemons tells of itself; those that don't answer are left out. */
+/** Queries the state of several daemons; the result omits those that do not respond. */
 export async function fetchSelfResponses(members: readonly MemberRow[]): Promise<Map<string, SelfResponse>> {
   const responses = new Map<string, SelfResponse>();
   const pending = [...members];
@@ -98,7 +98,7 @@
   return level === undefined ? '?' : `${Math.round((level / openLevel) * 100)}%`;
 }
 
-/** Prints what was decided for a request, and why. */
+/** Prints the decisions made for a request and their reasons. */
 export async function explain(request: string, options: CommonOptions): Promise<void> {
   const client = new DaemonClient(options.daemon);
   const { members } = unwrap(await client.get<StatusResponse>('/-/status'));
@@ -109,7 +109,7 @@
   const gateDecisions = await Promise.all(gateDaemons.map((member) => fetchDecisions(member.address, request)));
   const all = [...entryDecisions, ...gateDecisions.flat()].sort((a, b) => a.at - b.at);
   if (all.length === 0) {
-    throw new CommandError(kExit.failed, `expected a request of the last minutes, got "${request}": no daemon remembers it`);
+    throw new CommandError(kExit.failed, `expected the id of a recent request, got "${request}": no daemon has decisions for it`);
   }
   if (options.json === true) {
     printJson({ request, decisions: all });
--- a/packages/cli/src/client/suspectCommands.ts
+++ b/packages/cli/src/client/suspectCommands.ts
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Commands about kinds of requests that targets ended by. */
+/** Commands for request fingerprints suspected of crashing targets: suspects, release. */
 
 import type { ListedSuspect } from '@gentiandrum/core';
 import { type CommonOptions, unwrap } from './configCommands.js';
 import { DaemonClient } from './daemonClient.js';
 import { printJson, printLine, printTable } from './output.js';
 
-/** Prints the kinds that something is held against. */
+/** Prints the fingerprints with crash evidence. */
 export async function suspects(options: CommonOptions): Promise<void> {
   const response = unwrap(await new DaemonClient(options.daemon).get<{ suspects: ListedSuspect[] }>('/-/suspects'));
   if (options.json === true) {
@@ -29,7 +29,7 @@
   );
 }
 
-/** Lets a kind run again, on all daemons. */
+/** Releases a suspected or quarantined fingerprint on all daemons. */
 export async function release(fingerprint: string, options: CommonOptions): Promise<void> {
   const path = `/-/suspects/${encodeURIComponent(fingerprint)}/release`;
   const response = unwrap(await new DaemonClient(options.daemon).post<{ released: string }>(path, {}));
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -3,6 +3,6 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Client of operators. */
+/** Command-line client for operators. */
 
 export { main } from './client/main.js';
--- a/tests/e2e/commandLine.spec.ts
+++ b/tests/e2e/commandLine.spec.ts
@@ -144,7 +144,7 @@
     },
     { title: 'a daemon that is not there', args: ['status', '--daemon', '127.0.0.1:1'], code: 4, says: /expected a daemon at 127.0.0.1:1/ },
     { title: 'a version that is not kept', args: ['get', '--at', '99'], code: 1, says: /Expected a version that is still kept/ },
-    { title: 'a request that nobody remembers', args: ['explain', 'x~1~1'], code: 1, says: /no daemon remembers it/ },
+    { title: 'an unknown request', args: ['explain', 'x~1~1'], code: 1, says: /no daemon has decisions for it/ },
     { title: 'a missing file', args: ['validate', '/nowhere.yaml'], code: 2, says: /expected a readable YAML file/ },
   ];
   for (const { title, args, input, code, says } of cases) {
