--- a/tests/mesh/lethalRequests.spec.ts
+++ b/tests/mesh/lethalRequests.spec.ts
@@ -123,7 +123,7 @@
     clearInterval(timer);
   });
   await Promise.all(calls);
-  tally.ends = targets.reduce((sum, { crashes: ends }) => sum + ends, 0);
+  tally.ends = targets.reduce((sum, { crashes }) => sum + crashes, 0);
   targets.forEach((target) => {
     target.close();
   });
--- a/tests/mesh/quarantineLasts.spec.ts
+++ b/tests/mesh/quarantineLasts.spec.ts
@@ -29,7 +29,7 @@
 }
 
 function endsOf(targets: readonly CrashingTarget[]): number {
-  return targets.reduce((sum, { crashes: ends }) => sum + ends, 0);
+  return targets.reduce((sum, { crashes }) => sum + crashes, 0);
 }
 
 function anyHost(fleet: MeshFleet): FleetHost {
