--- a/packages/cli/src/client/daemonClient.ts
+++ b/packages/cli/src/client/daemonClient.ts
@@ -3,33 +3,33 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Talks to a daemon over HTTP. */
+/** HTTP client of a daemon. */
 
 import { Err, Ok, type Result } from '@gentiandrum/core';
 import { request } from 'undici';
 
-const kTimeoutMs = 10_000;
+const kDefaultTimeoutMs = 10_000;
 
 /** Error of a call to a daemon. */
 export type DaemonError =
-  /** Nothing answered at the address. */
+  /** No usable response from the address. */
   | { kind: 'unreachable'; address: string; cause: string }
-  /** The daemon refused; fields of its problem answer. */
+  /** The daemon responded with an error; fields of its problem document. */
   | { kind: 'problem'; status: number; error: string; detail: string; body: Record<string, unknown> };
 
 /** Client of one daemon. */
 export class DaemonClient {
   constructor(
     readonly address: string,
-    private readonly _timeoutMs = kTimeoutMs,
+    private readonly _timeoutMs = kDefaultTimeoutMs,
   ) {}
 
-  /** GETs a JSON answer. */
+  /** Sends a GET request and parses the JSON response. */
   get<T>(path: string): Promise<Result<T, DaemonError>> {
     return this._call<T>('GET', path);
   }
 
-  /** POSTs a JSON body. */
+  /** Sends a POST request with a JSON body and parses the JSON response. */
   post<T>(path: string, body: unknown): Promise<Result<T, DaemonError>> {
     return this._call<T>('POST', path, JSON.stringify(body));
   }
@@ -44,28 +44,34 @@
         bodyTimeout: this._timeoutMs,
       };
       const res = await request(`http://${this.address}${path}`, options);
-      const answer = (await res.body.json()) as Record<string, unknown>;
+      const responseBody = (await res.body.json()) as Record<string, unknown>;
       if (res.statusCode < 400) {
-        return Ok(answer as T);
+        return Ok(responseBody as T);
       }
-      const { kind, detail, message } = answer;
-      return Err({ kind: 'problem', status: res.statusCode, error: textOf(kind), detail: textOf(detail ?? message), body: answer });
+      const { kind, detail, message } = responseBody;
+      return Err({
+        kind: 'problem',
+        status: res.statusCode,
+        error: stringOrEmpty(kind),
+        detail: stringOrEmpty(detail ?? message),
+        body: responseBody,
+      });
     } catch (err) {
       return Err({ kind: 'unreachable', address: this.address, cause: err instanceof Error ? err.message : String(err) });
     }
   }
 }
 
-/** Text of an error for people. */
-export function errorText(error: DaemonError): string {
+/** Formats an error for display. */
+export function formatError(error: DaemonError): string {
   switch (error.kind) {
     case 'unreachable':
-      return `expected a daemon at ${error.address}, got no answer (${error.cause})`;
+      return `expected a daemon at ${error.address}, got no response (${error.cause})`;
     case 'problem':
       return `${error.error || `status ${error.status}`}: ${error.detail}`;
   }
 }
 
-function textOf(value: unknown): string {
+function stringOrEmpty(value: unknown): string {
   return typeof value === 'string' ? value : '';
 }
--- a/packages/cli/src/client/suspectCommands.ts
+++ b/packages/cli/src/client/suspectCommands.ts
@@ -3,23 +3,23 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Commands about kinds of requests that targets ended by. */
+/** Commands for request fingerprints suspected of crashing targets: suspects, release. */
 
 import type { ListedSuspect } from '@gentiandrum/core';
 import { type CommonOptions, unwrap } from './configCommands.js';
 import { DaemonClient } from './daemonClient.js';
 import { printJson, printLine, printTable } from './output.js';
 
-/** Prints the kinds that something is held against. */
+/** Prints the fingerprints with crash evidence. */
 export async function suspects(options: CommonOptions): Promise<void> {
-  const answer = unwrap(await new DaemonClient(options.daemon).get<{ suspects: ListedSuspect[] }>('/-/suspects'));
+  const response = unwrap(await new DaemonClient(options.daemon).get<{ suspects: ListedSuspect[] }>('/-/suspects'));
   if (options.json === true) {
-    printJson(answer);
+    printJson(response);
     return;
   }
   printTable(
     ['KIND', 'ROUTE', 'VERDICT', 'ENDS', 'LATEST'],
-    answer.suspects.map(({ fingerprint, route, verdict, marks }) => [
+    response.suspects.map(({ fingerprint, route, verdict, marks }) => [
       fingerprint,
       route,
       verdict,
@@ -29,13 +29,13 @@
   );
 }
 
-/** Lets a kind run again, on all daemons. */
-export async function release(kind: string, options: CommonOptions): Promise<void> {
-  const path = `/-/suspects/${encodeURIComponent(kind)}/release`;
-  const answer = unwrap(await new DaemonClient(options.daemon).post<{ released: string }>(path, {}));
+/** Releases a suspected or quarantined fingerprint on all daemons. */
+export async function release(fingerprint: string, options: CommonOptions): Promise<void> {
+  const path = `/-/suspects/${encodeURIComponent(fingerprint)}/release`;
+  const response = unwrap(await new DaemonClient(options.daemon).post<{ released: string }>(path, {}));
   if (options.json === true) {
-    printJson(answer);
+    printJson(response);
     return;
   }
-  printLine(`released ${answer.released}`);
+  printLine(`released ${response.released}`);
 }
--- a/tests/platform/foreignWriters.spec.ts
+++ b/tests/platform/foreignWriters.spec.ts
@@ -3,11 +3,11 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Heartbeats and records of other writers: they name no target to use, and the others hold. */
+/** Guards against malformed heartbeats, records and configurations from other writers being used or displacing valid ones. */
 
 import type { TargetRecord } from '@gentiandrum/core';
 import { EventLog, type RecordChange } from '@gentiandrum/mesh';
-import { decodeConfig, platformDialect, StoreClient, StoredRecords } from '@gentiandrum/platform';
+import { decodeConfig, platformDialect, StoreClient, StoreRecordLog } from '@gentiandrum/platform';
 import fc from 'fast-check';
 import { UpstreamStandin } from './upstreamStandin.js';
 import { StoreStandin } from './storeStandin.js';
@@ -34,49 +34,49 @@
   revision: 1,
 };
 
-/** Something in place of one field, at any depth. */
-function broken(whole: object): fc.Arbitrary<unknown> {
-  const paths = pathsOf(whole);
+/** Generates copies of an object with one field, at any depth, replaced by an arbitrary value. */
+function withReplacedField(original: object): fc.Arbitrary<unknown> {
+  const paths = fieldPaths(original);
   return fc.tuple(fc.constantFrom(...paths), fc.oneof(fc.constant(undefined), fc.jsonValue())).map(([path, value]) => {
-    const copy = structuredClone(whole) as Record<string, unknown>;
-    let at = copy;
+    const copy = structuredClone(original) as Record<string, unknown>;
+    let node = copy;
     for (const name of path.slice(0, -1)) {
-      at = at[name] as Record<string, unknown>;
+      node = node[name] as Record<string, unknown>;
     }
-    at[path.at(-1) ?? ''] = value;
+    node[path.at(-1) ?? ''] = value;
     return copy;
   });
 }
 
-function pathsOf(whole: object, above: string[] = []): string[][] {
-  return Object.entries(whole).flatMap(([name, value]) => {
-    const path = [...above, name];
-    return typeof value === 'object' && value !== null ? [path, ...pathsOf(value as object, path)] : [path];
+function fieldPaths(object: object, parents: string[] = []): string[][] {
+  return Object.entries(object).flatMap(([name, value]) => {
+    const path = [...parents, name];
+    return typeof value === 'object' && value !== null ? [path, ...fieldPaths(value as object, path)] : [path];
   });
 }
 
 describe('heartbeats of other writers', () => {
-  it('should be read as nothing, or as a whole announcement, and never throw', (t) => {
+  it('should be rejected or read as a complete announcement, and never throw', (t) => {
     const bodies = fc.oneof(
       fc.uint8Array({ maxLength: 200 }).map((bytes) => Buffer.from(bytes)),
       fc.json().map((text) => Buffer.from(text)),
-      broken(kHeartbeat).map((value) => Buffer.from(JSON.stringify(value))),
+      withReplacedField(kHeartbeat).map((value) => Buffer.from(JSON.stringify(value))),
     );
     fc.assert(
       fc.property(fc.constantFrom('PUT', 'DELETE', 'POST'), bodies, (method, body) => {
-        const word = platformDialect.readAnnouncement(method, kPath, body);
-        if (word && word.state !== 'gone') {
-          t.is(typeof word.details?.service, 'string');
-          t.true((word.details?.slots ?? 0) >= 1);
-          t.regex(word.details?.address ?? '', /^[0-9.]+:\d+$/);
-          t.true(word.sequence >= 0);
+        const announcement = platformDialect.readAnnouncement(method, kPath, body);
+        if (announcement && announcement.state !== 'gone') {
+          t.is(typeof announcement.details?.service, 'string');
+          t.true((announcement.details?.slots ?? 0) >= 1);
+          t.regex(announcement.details?.address ?? '', /^[0-9.]+:\d+$/);
+          t.true(announcement.sequence >= 0);
         }
       }),
       { numRuns: 2_000 },
     );
   });
 
-  it('should be read with the start of their incarnation, also when they leave', (t) => {
+  it('should be read with the start of their incarnation, also on deregistration', (t) => {
     const read = (method: string, body: unknown): number | undefined =>
       platformDialect.readAnnouncement(method, kPath, Buffer.from(JSON.stringify(body)))?.born;
     t.is(read('PUT', kHeartbeat), kHeartbeat.born);
@@ -85,7 +85,7 @@
     t.is(platformDialect.readAnnouncement('DELETE', kPath, Buffer.alloc(0))?.state, 'gone');
   });
 
-  itAlone('should not take the place of the target', (t) =>
+  itAlone('should not replace the target', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -93,11 +93,11 @@
       const stranger = new UpstreamStandin('i-stranger', 'no-service');
       await stranger.start();
       try {
-        t.is(await stranger.beat(host.control), 400);
+        t.is(await stranger.sendHeartbeat(host.control), 400);
         stranger.address = '10.9.9.9:80';
         const elsewhere = new UpstreamStandin('i-elsewhere', 'reads');
         elsewhere.address = '10.9.9.9:80';
-        t.is(await elsewhere.beat(host.control), 400);
+        t.is(await elsewhere.sendHeartbeat(host.control), 400);
         t.is((await fleet.call(host, '/a/x')).status, 200);
         t.is(host.daemon.record.instance, 'i-h1');
       } finally {
@@ -108,16 +108,16 @@
 });
 
 describe('records of other writers', () => {
-  itAlone('should name no host, while those beside them are read', async (t) => {
+  itAlone('should be skipped while valid records are read', async (t) => {
     const store = new StoreStandin();
     const address = await store.start();
     const client = new StoreClient(address, new EventLog('h1', 0, 0));
-    const records = new StoredRecords(client, new EventLog('h0', 0, 0));
+    const records = new StoreRecordLog(client, new EventLog('h0', 0, 0));
     const seen: RecordChange[] = [];
     records.onChanges((changes) => seen.push(...changes));
     try {
-      const samples = fc.sample(broken(kRecord), { numRuns: 200, seed: 5 });
-      samples.forEach((value, i) => {
+      const values = fc.sample(withReplacedField(kRecord), { numRuns: 200, seed: 5 });
+      values.forEach((value, i) => {
         store.put(kTopic, `bad-${i}`, JSON.stringify(value));
       });
       store.put(kTopic, 'bytes', '\u0000\u0001{');
@@ -133,7 +133,7 @@
 });
 
 describe('configurations', () => {
-  it('should be read whole or not at all, whatever stands there', (t) => {
+  it('should be rejected when malformed', (t) => {
     fc.assert(
       fc.property(fc.oneof(fc.json(), fc.string()), (text) => {
         t.is(decodeConfig(Buffer.from(text)), undefined);
--- a/tests/platform/topicReader.spec.ts
+++ b/tests/platform/topicReader.spec.ts
@@ -3,28 +3,28 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The records of hosts in the store, as a daemon reads and writes them: each call has its price. */
+/** Guards against superfluous store calls and against lost, incomplete or stale host records. */
 
 import type { TargetRecord } from '@gentiandrum/core';
 import { EventLog, type RecordChange } from '@gentiandrum/mesh';
-import { StoreClient, StoredRecords } from '@gentiandrum/platform';
+import { StoreClient, StoreRecordLog } from '@gentiandrum/platform';
 import { describe, itAlone } from '../support/describe.js';
 import { StoreStandin } from './storeStandin.js';
 
 const kTopic = 'keyed.gentiandrum-hosts';
-const kLookMs = 10;
-const kWaitMs = 10_000;
+const kPollMs = 10;
+const kTimeoutMs = 10_000;
 
 function recordOf(host: string, revision = 1): TargetRecord {
   return { host, zone: 'z1', peers: '127.0.0.1:1', service: 's', instance: `i-${host}`, state: 'ready', slots: 5, epoch: 1, revision };
 }
 
-async function withRecords(body: (store: StoreStandin, records: StoredRecords, seen: RecordChange[]) => Promise<void>): Promise<void> {
+async function withRecords(body: (store: StoreStandin, records: StoreRecordLog, seen: RecordChange[]) => Promise<void>): Promise<void> {
   const store = new StoreStandin();
   const client = new StoreClient(await store.start(), new EventLog('h1', 0, 0));
-  const records = new StoredRecords(client, new EventLog('h1', 0, 0));
+  const records = new StoreRecordLog(client, new EventLog('h1', 0, 0));
   const seen: RecordChange[] = [];
-  records.onChanges((changes) => seen.push(...changes));
+  records.onChanges((batch) => seen.push(...batch));
   try {
     await body(store, records, seen);
   } finally {
@@ -34,18 +34,18 @@
   }
 }
 
-async function until(what: string, holds: () => boolean): Promise<void> {
-  const end = performance.now() + kWaitMs;
-  while (!holds()) {
-    if (performance.now() > end) {
+async function waitUntil(what: string, condition: () => boolean): Promise<void> {
+  const deadline = performance.now() + kTimeoutMs;
+  while (!condition()) {
+    if (performance.now() > deadline) {
       throw new Error(`expected ${what}`);
     }
-    await new Promise((resolve) => setTimeout(resolve, kLookMs));
+    await new Promise((resolve) => setTimeout(resolve, kPollMs));
   }
 }
 
 describe('records in the store', () => {
-  itAlone('should be appended together in one call, and read back whole', (t) =>
+  itAlone('should be appended in one call and read back unchanged', (t) =>
     withRecords(async (store, records, seen) => {
       t.true(await records.append([recordOf('h1'), recordOf('h2'), recordOf('h3')]));
       t.is(store.calls, 1);
@@ -58,7 +58,7 @@
     }),
   );
 
-  itAlone('should not be called for while nobody asks', (t) =>
+  itAlone('should cause no calls unless they are requested', (t) =>
     withRecords(async (store, records) => {
       await records.readNewest();
       store.put(kTopic, 'h1', JSON.stringify(recordOf('h1')));
@@ -67,27 +67,27 @@
     }),
   );
 
-  itAlone('should be read once for several that ask at the same time', (t) =>
+  itAlone('should be read once for concurrent requests', (t) =>
     withRecords(async (store, records) => {
       t.deepEqual(await Promise.all([records.readNewest(), records.readNewest(), records.readNewest()]), [true, true, true]);
       t.is(store.calls, 1);
     }),
   );
 
-  itAlone('should come while they are followed, those of the time before the first read included', (t) =>
+  itAlone('should be reported while followed, including those written before the first read', (t) =>
     withRecords(async (store, records, seen) => {
       store.put(kTopic, 'h1', JSON.stringify(recordOf('h1')));
       records.follow(true);
-      await until('the first record', () => seen.length === 1);
+      await waitUntil('the first record', () => seen.length === 1);
       store.put(kTopic, 'h2', JSON.stringify(recordOf('h2')));
-      await until('the second record', () => seen.length === 2);
+      await waitUntil('the second record', () => seen.length === 2);
       store.put(kTopic, 'h1', '');
-      await until('the erasure', () => seen.length === 3);
+      await waitUntil('the erasure', () => seen.length === 3);
       t.deepEqual(seen.at(-1), { kind: 'erased', host: 'h1' });
     }),
   );
 
-  itAlone('should be known to fail, and to be answered again', (t) =>
+  itAlone('should report failing calls and recovery', (t) =>
     withRecords(async (store, records) => {
       store.mode = 'busy';
       t.false(await records.readNewest());
--- a/tests/platform/upstreamStandin.ts
+++ b/tests/platform/upstreamStandin.ts
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stand-in for a target of the platform: echoes ids, marks its answers, announces itself, and answers badly on demand. */
+/** Stand-in for a target of the platform: echoes ids, seals its responses, announces itself and misbehaves on demand. */
 
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { request } from 'undici';
 import { readBody } from '../standins/httpJson.js';
 
-/** What the next answers look like. */
-export type AnswerMode =
+/** How the target responds to requests. */
+export type ResponseMode =
   | 'whole'
   | 'failing'
   | 'shedding'
@@ -24,7 +24,7 @@
   | 'unframed_reset'
   | 'surplus';
 
-/** One request as the target saw it. */
+/** Request as received by the target. */
 export interface SeenRequest {
   id: string;
   method: string;
@@ -32,33 +32,32 @@
   caller: string;
   remainingMs: number;
   instance: string;
-  /** Workspace, as the daemon named it; undefined without that header. */
+  /** Workspace from the daemon's header; undefined without that header. */
   workspace: string | undefined;
-  /** What came with the key's header. */
+  /** Value of the `authorization` header. */
   credentials: string | undefined;
   body: string;
 }
 
-/** A target. */
 export class UpstreamStandin {
-  mode: AnswerMode = 'whole';
-  /** Answers that the mode holds for; then they are whole again. */
-  modeLeft = Infinity;
+  mode: ResponseMode = 'whole';
+  /** Number of responses to which `mode` applies; later ones are complete. */
+  responsesLeftInMode = Infinity;
   workMs = 1;
-  /** Bytes added to each whole answer. */
+  /** Bytes added to the body of each complete response. */
   padding = 0;
-  /** Fails a request before it has read its body, keeps the connection, and reads on later. */
-  answersEarly = false;
-  /** Called with each request that begins to run; the run lasts until the promise resolves, if there is one. */
+  /** Responds with status 500 before the body is read, keeps the connection open and reads the body afterwards. */
+  respondsEarly = false;
+  /** Called when a request starts to run; if it returns a promise, the request runs until that resolves. */
   onRun: (req: SeenRequest) => Promise<void> | undefined = () => undefined;
   readonly seen: SeenRequest[] = [];
-  /** Requests whose connection closed before the answer. */
-  left = 0;
+  /** Number of requests whose connection closed before the response. */
+  abortedRequests = 0;
   running = 0;
-  /** Most requests that ran at once. */
-  mostRunning = 0;
+  /** Maximum number of concurrently running requests. */
+  maxRunning = 0;
   address = '';
-  /** Port to listen on; any free one when 0. */
+  /** Port to listen on; 0 selects a free one. */
   port = 0;
   private _sequence = 0;
   private readonly _server: Server;
@@ -69,20 +68,20 @@
     readonly slots = 20,
   ) {
     this._server = createServer((req, res) => {
-      void this._serve(req, res);
+      void this._handleRequest(req, res);
     });
     this._server.keepAliveTimeout = 10_000;
   }
 
-  /** Listens on the loopback. */
+  /** Listens on the loopback interface. */
   async start(): Promise<void> {
     await new Promise<void>((resolve) => this._server.listen(this.port, '127.0.0.1', resolve));
     const address = this._server.address();
     this.address = `127.0.0.1:${typeof address === 'object' && address ? address.port : 0}`;
   }
 
-  /** Announces itself to a daemon; returns the status of the answer. */
-  async beat(control: string, state: 'ready' | 'draining' = 'ready', sequence = ++this._sequence): Promise<number> {
+  /** Announces the target to a daemon; returns the response status. */
+  async sendHeartbeat(control: string, state: 'ready' | 'draining' = 'ready', sequence = ++this._sequence): Promise<number> {
     const body = JSON.stringify({
       address: this.address,
       info: { service: this.service, version: 'v1', zone: 'z', slots: this.slots },
@@ -97,21 +96,21 @@
     return res.statusCode;
   }
 
-  /** Says that it leaves for good. */
-  async leave(control: string): Promise<number> {
+  /** Deregisters the target from a daemon; returns the response status. */
+  async deregister(control: string): Promise<number> {
     const res = await request(`http://${control}/v1/instances/${this.instance}`, { method: 'DELETE' });
     await res.body.dump();
     return res.statusCode;
   }
 
-  /** Stops at once, as a process does that crashes: connections end without an answer, and new ones are refused. */
+  /** Stops like a crashed process: connections close without a response, and new ones are refused. */
   close(): void {
     this._server.close();
     this._server.closeAllConnections();
   }
 
-  private async _serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    if (this.answersEarly) {
+  private async _handleRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    if (this.respondsEarly) {
       const id = String(req.headers['x-attempt-id'] ?? '');
       res.writeHead(500, { 'x-attempt-id': id, 'x-response-seal': `seal.${id}`, 'content-length': 0 }).end();
     }
@@ -137,19 +136,19 @@
       return;
     }
     this.running++;
-    this.mostRunning = Math.max(this.mostRunning, this.running);
+    this.maxRunning = Math.max(this.maxRunning, this.running);
     await (this.onRun(seen) ?? new Promise((resolve) => setTimeout(resolve, this.workMs)));
     this.running--;
     if (res.destroyed) {
-      this.left++;
+      this.abortedRequests++;
       return;
     }
-    const mode = this.modeLeft > 0 ? this.mode : 'whole';
-    this.modeLeft--;
-    this._answer(mode, header('x-attempt-id'), req, res);
+    const mode = this.responsesLeftInMode > 0 ? this.mode : 'whole';
+    this.responsesLeftInMode--;
+    this._respond(mode, header('x-attempt-id'), req, res);
   }
 
-  private _answer(mode: AnswerMode, id: string, req: IncomingMessage, res: ServerResponse): void {
+  private _respond(mode: ResponseMode, id: string, req: IncomingMessage, res: ServerResponse): void {
     const text = `${this.instance} did ${id}${'x'.repeat(this.padding)}`;
     const sealed = { 'x-attempt-id': id, 'x-response-seal': `seal.${id}` };
     switch (mode) {
@@ -180,11 +179,11 @@
         res.destroy();
         return;
       default:
-        this._answerRaw(mode, id, text, req);
+        this._respondRaw(mode, id, text, req);
     }
   }
 
-  private _answerRaw(mode: AnswerMode, id: string, text: string, req: IncomingMessage): void {
+  private _respondRaw(mode: ResponseMode, id: string, text: string, req: IncomingMessage): void {
     const head = `HTTP/1.1 200 OK\r\nX-Attempt-Id: ${id}\r\nX-Response-Seal: seal.${id}\r\n`;
     const { socket } = req;
     switch (mode) {
@@ -199,8 +198,8 @@
         setTimeout(() => socket.resetAndDestroy(), 5);
         return;
       default: {
-        const whole = `${head}Content-Length: ${text.length}\r\n\r\n${text}`;
-        socket.write(whole + whole);
+        const response = `${head}Content-Length: ${text.length}\r\n\r\n${text}`;
+        socket.write(response + response);
       }
     }
   }
