--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -360,7 +360,7 @@
         this._suspect(knownGone, host, target);
       },
       absent: () => 0,
-      suspects: new Suspects({ broadcast: () => undefined, sendSome: () => undefined, note: () => undefined }),
+      suspects: new Suspects({ broadcast: () => undefined, sendSome: () => undefined, onEvent: () => undefined }),
       picker: new TargetPicker(host.zone, 'one', this._world.random),
       rootFilter: new RootFilter(() => this._favour),
       ledger,
--- a/packages/core/src/procedures/callContext.ts
+++ b/packages/core/src/procedures/callContext.ts
@@ -81,7 +81,7 @@
   /** Targets of a service that take no work now, and may again. */
   absent: (service: string) => number;
   /** Kinds of calls that targets may have ended by. */
-  suspects: Pick<Suspects, 'assess' | 'quietMs' | 'learn'>;
+  suspects: Pick<Suspects, 'assess' | 'msSinceUpdate' | 'mergeFromCall'>;
   picker: TargetPicker;
   rootFilter: RootFilter;
   ledger: RetryLedger;
--- a/packages/core/src/procedures/runAttempts.ts
+++ b/packages/core/src/procedures/runAttempts.ts
@@ -191,7 +191,7 @@
     return;
   }
   if (end.kind !== 'answered' && end.suspicion) {
-    ctx.suspects.learn(end.suspicion);
+    ctx.suspects.mergeFromCall(end.suspicion);
   }
   run.allowance += Math.min(end.unspent, attempt.lent);
   run.level = tighter(run.level, end.level);
--- a/packages/core/src/procedures/suspectChoice.ts
+++ b/packages/core/src/procedures/suspectChoice.ts
@@ -7,7 +7,7 @@
 
 import type { RequestIdentity } from '../quarantine/requestFingerprint.js';
 import type { Suspicion } from '../quarantine/suspicion.js';
-import { sparesTarget, trialTarget } from '../quarantine/trialTarget.js';
+import { mayProbe, chooseProbeTarget } from '../quarantine/probeTarget.js';
 import type { Choice } from '../routing/targetPicker.js';
 import type { Call, ServeContext } from './callContext.js';
 import type { Payload } from './effects.js';
@@ -38,9 +38,9 @@
   }
   const candidates = ctx.candidates(service).map((candidate) => ({ host: candidate.target, candidate }));
   const targets = { ready: candidates.length, unreachable: ctx.absent(service) };
-  if (verdict === 'trial' && !sparesTarget(targets, ctx.suspects.quietMs(suspicion.fingerprint))) {
+  if (verdict === 'trial' && !mayProbe(targets, ctx.suspects.msSinceUpdate(suspicion.fingerprint))) {
     return { kind: 'refused', reason: 'suspected' };
   }
-  const target = trialTarget(suspicion.fingerprint, candidates, tried);
+  const target = chooseProbeTarget(suspicion.fingerprint, candidates, tried);
   return { kind: 'suspect', choice: target && ctx.picker.pick([target.candidate], new Set(), now), suspicion };
 }
--- a/packages/core/src/quarantine/trialTarget.ts
+++ b/packages/core/src/quarantine/probeTarget.ts
@@ -8,7 +8,7 @@
 import { RendezvousRank } from '../util/rendezvous.js';
 
 /** Time after which a kind is tried also where few targets are left, in milliseconds: those that are down may be so for good. */
-const kRecoverMs = 5_000;
+const kRecoveryMs = 5_000;
 
 /** Targets of a service, as one daemon knows them. */
 export interface ServiceTargets {
@@ -20,17 +20,17 @@
  * Whether a trial may cost a service one more target: half of them should be left then. Two kinds that each end three targets within
  * a tenth of a second leave nothing of a service with six.
  *
- * @param quietMs time since something was last learned of the kind, in milliseconds
+ * @param msSinceUpdate time since something was last learned of the kind, in milliseconds
  */
-export function sparesTarget({ ready, unreachable }: ServiceTargets, quietMs: number): boolean {
-  return unreachable === 0 || (ready - 1) * 2 >= ready + unreachable || quietMs > kRecoverMs;
+export function mayProbe({ ready, unreachable }: ServiceTargets, msSinceUpdate: number): boolean {
+  return unreachable === 0 || (ready - 1) * 2 >= ready + unreachable || msSinceUpdate > kRecoveryMs;
 }
 
 /**
  * The target where all daemons try a kind: the same for all that know the same targets, without a message; another kind has another one,
  * so that suspects are spread.
  */
-export function trialTarget<T extends { host: string }>(
+export function chooseProbeTarget<T extends { host: string }>(
   fingerprint: string,
   candidates: readonly T[],
   excluded: ReadonlySet<string>,
--- a/packages/core/src/quarantine/suspectLane.ts
+++ b/packages/core/src/quarantine/suspectQueue.ts
@@ -11,14 +11,14 @@
 import type { Verdict } from './suspicion.js';
 
 /** A suspect at a gate. */
-export interface LaneCall {
+export interface QueuedSuspect {
   fingerprint: string;
 }
 
 /** Suspects at one target. */
-export class SuspectLane<T extends LaneCall> {
+export class SuspectQueue<T extends QueuedSuspect> {
   private readonly _running = new Map<string, T>();
-  private _onTrial: T | undefined;
+  private _probe: T | undefined;
   private _waiting: T[] = [];
 
   /** @param _verdict what follows for a kind as of now */
@@ -30,8 +30,8 @@
   }
 
   /** Whether a call is the one on trial. */
-  isOnTrial(call: T): boolean {
-    return this._onTrial === call;
+  isProbe(call: T): boolean {
+    return this._probe === call;
   }
 
   /** Takes a suspect: true when it may run now, else it waits. */
@@ -49,11 +49,11 @@
     if (this._running.get(call.fingerprint) === call) {
       this._running.delete(call.fingerprint);
     }
-    if (this._onTrial === call) {
-      this._onTrial = undefined;
+    if (this._probe === call) {
+      this._probe = undefined;
     }
     this._waiting = this._waiting.filter((other) => other !== call);
-    return this._next();
+    return this._startWaiting();
   }
 
   /** Takes out all that wait. */
@@ -61,17 +61,17 @@
     return this._waiting.splice(0);
   }
 
-  private _next(): T[] {
-    const next: T[] = [];
+  private _startWaiting(): T[] {
+    const started: T[] = [];
     this._waiting = this._waiting.filter((call) => {
       if (!this._mayRun(call)) {
         return true;
       }
       this._start(call);
-      next.push(call);
+      started.push(call);
       return false;
     });
-    return next;
+    return started;
   }
 
   private _mayRun({ fingerprint }: T): boolean {
@@ -84,7 +84,7 @@
       case 'suspect':
         return !this._running.has(fingerprint);
       case 'trial':
-        return !this._running.has(fingerprint) && this._onTrial === undefined;
+        return !this._running.has(fingerprint) && this._probe === undefined;
     }
   }
 
@@ -94,7 +94,7 @@
       this._running.set(call.fingerprint, call);
     }
     if (verdict === 'trial') {
-      this._onTrial = call;
+      this._probe = call;
     }
   }
 }
--- a/packages/core/src/quarantine/suspectTable.ts
+++ b/packages/core/src/quarantine/suspectTable.ts
@@ -10,21 +10,21 @@
 
 import { monotonicMs } from '../util/clock.js';
 import { fingerprintOf, type RequestIdentity, screenOf } from './requestFingerprint.js';
-import { type CrashMark, crashesOf, isProved, kMaxCrashes, mergeMarks, type Suspicion, type Verdict, verdictOf } from './suspicion.js';
+import { type CrashMark, crashesOf, isConfirmed, kMaxCrashes, mergeMarks, type Suspicion, type Verdict, verdictOf } from './suspicion.js';
 
 /** Kinds that are known at once. */
-const kMaxKinds = 1_000;
+const kMaxFingerprints = 1_000;
 /** Time after which nothing is held any more against a kind that no end was proved of, in milliseconds. */
-const kForgetMs = 60 * 60_000;
+const kExpiryMs = 60 * 60_000;
 /** Time after which a kind that is held back is tried once more, in milliseconds; doubles with each further end. */
-const kFirstHoldMs = 60 * 60_000;
+const kFirstQuarantineMs = 60 * 60_000;
 /**
  * The same for a kind that has not been on trial, in milliseconds: copies of it ran on three targets that ended together, which a
  * lookup that many share may have done too.
  */
-const kUnprovedHoldMs = 30_000;
+const kUnconfirmedQuarantineMs = 30_000;
 /** Further ends that such trials may cost; after these only an operator lets the kind run. */
-const kMaxFurtherCrashes = 3;
+const kMaxProbeFailures = 3;
 
 /** The end of one incarnation of a target. */
 export interface Crash {
@@ -35,7 +35,7 @@
 }
 
 /** A request that ran on a target when that ended. */
-export interface CrashedRun {
+export interface InFlightRequest {
   identity: RequestIdentity;
   route: string;
   /** Whether it was the only suspect on trial there. */
@@ -52,7 +52,7 @@
 export class SuspectTable {
   private readonly _entries = new Map<string, Entry>();
   /** Kinds by their screen: of one screen there may be several, which differ in their bodies. */
-  private readonly _screens = new Map<number, number>();
+  private readonly _countByScreen = new Map<number, number>();
 
   /** Kinds that are known, cleared ones too. */
   get size(): number {
@@ -61,7 +61,7 @@
 
   /** What is known of a request's kind; undefined when nothing is. Costs nothing while no target has ended. */
   find(identity: RequestIdentity): Suspicion | undefined {
-    if (this._entries.size === 0 || !this._screens.has(screenOf(identity))) {
+    if (this._entries.size === 0 || !this._countByScreen.has(screenOf(identity))) {
       return undefined;
     }
     return this._entries.get(fingerprintOf(identity))?.suspicion;
@@ -74,11 +74,11 @@
       return 'clear';
     }
     const verdict = verdictOf(entry.suspicion);
-    return verdict === 'quarantined' && this._holdEnded(entry) ? 'trial' : verdict;
+    return verdict === 'quarantined' && this._quarantineExpired(entry) ? 'trial' : verdict;
   }
 
   /** Time since something was last learned of a kind, in milliseconds. */
-  quietMs(fingerprint: string): number {
+  msSinceUpdate(fingerprint: string): number {
     return monotonicMs() - (this._entries.get(fingerprint)?.changedAt ?? -Infinity);
   }
 
@@ -91,67 +91,67 @@
   }
 
   /** Notes the end of a target; returns what others should know. */
-  crashed(crash: Crash, runs: readonly CrashedRun[]): Suspicion[] {
-    return this.merge(runs.map((run) => suspicionFrom(crash, run)));
+  crashed(crash: Crash, inFlight: readonly InFlightRequest[]): Suspicion[] {
+    return this.merge(inFlight.map((request) => suspicionFrom(crash, request)));
   }
 
   /** Notes that a request of a known kind ran to its end; returns what others should know. */
   completed(fingerprint: string): Suspicion[] {
-    const held = this._entries.has(fingerprint) && this._isHeld(fingerprint);
-    return this._change(fingerprint, (mark) => ({ ...mark, cleared: true, released: mark.released || held }));
+    const wasQuarantined = this._entries.has(fingerprint) && this._isQuarantined(fingerprint);
+    return this._updateMarks(fingerprint, (mark) => ({ ...mark, cleared: true, released: mark.released || wasQuarantined }));
   }
 
   /** Lets a kind run again; returns what others should know, nothing when it isn't known. */
   release(fingerprint: string): Suspicion[] {
-    return this._change(fingerprint, (mark) => ({ ...mark, released: true }));
+    return this._updateMarks(fingerprint, (mark) => ({ ...mark, released: true }));
   }
 
   /** Takes what others know; returns what was new in it. */
-  merge(told: readonly Suspicion[]): Suspicion[] {
+  merge(received: readonly Suspicion[]): Suspicion[] {
     const changed: Suspicion[] = [];
-    for (const suspicion of told) {
+    for (const suspicion of received) {
       const known = this._entries.get(suspicion.fingerprint)?.suspicion;
       const marks = mergeMarks(known?.marks ?? [], suspicion.marks);
       if (marks) {
         changed.push(this._set({ ...(known ?? suspicion), marks }));
       }
     }
-    this._forgetSome();
+    this._evictSurplus();
     return changed;
   }
 
   /** Forgets what is old; called now and then. */
   prune(): void {
-    const before = monotonicMs() - kForgetMs;
+    const expiredBefore = monotonicMs() - kExpiryMs;
     for (const [fingerprint, { changedAt }] of this._entries) {
-      if (changedAt < before && !this._isHeld(fingerprint)) {
+      if (changedAt < expiredBefore && !this._isQuarantined(fingerprint)) {
         this._delete(fingerprint);
       }
     }
   }
 
-  private _change(fingerprint: string, change: (mark: CrashMark) => CrashMark): Suspicion[] {
+  private _updateMarks(fingerprint: string, update: (mark: CrashMark) => CrashMark): Suspicion[] {
     const known = this._entries.get(fingerprint)?.suspicion;
-    return known ? this.merge([{ ...known, marks: known.marks.map(change) }]) : [];
+    return known ? this.merge([{ ...known, marks: known.marks.map(update) }]) : [];
   }
 
-  private _isHeld(fingerprint: string): boolean {
+  private _isQuarantined(fingerprint: string): boolean {
     const entry = this._entries.get(fingerprint);
     return entry !== undefined && verdictOf(entry.suspicion) === 'quarantined';
   }
 
-  private _holdEnded({ suspicion, changedAt }: Entry): boolean {
-    if (!isProved(suspicion)) {
-      return monotonicMs() - changedAt > kUnprovedHoldMs;
+  private _quarantineExpired({ suspicion, changedAt }: Entry): boolean {
+    if (!isConfirmed(suspicion)) {
+      return monotonicMs() - changedAt > kUnconfirmedQuarantineMs;
     }
-    const further = crashesOf(suspicion) - kMaxCrashes;
-    return further < kMaxFurtherCrashes && monotonicMs() - changedAt > kFirstHoldMs * 2 ** Math.max(0, further);
+    const furtherCrashes = crashesOf(suspicion) - kMaxCrashes;
+    return furtherCrashes < kMaxProbeFailures && monotonicMs() - changedAt > kFirstQuarantineMs * 2 ** Math.max(0, furtherCrashes);
   }
 
   private _set(suspicion: Suspicion): Suspicion {
     const { fingerprint, screen } = suspicion;
     if (!this._entries.delete(fingerprint)) {
-      this._screens.set(screen, (this._screens.get(screen) ?? 0) + 1);
+      this._countByScreen.set(screen, (this._countByScreen.get(screen) ?? 0) + 1);
     }
     // Set anew, so that the order is that of the latest changes.
     this._entries.set(fingerprint, { suspicion, changedAt: monotonicMs() });
@@ -164,17 +164,17 @@
       return;
     }
     this._entries.delete(fingerprint);
-    const left = (this._screens.get(screen) ?? 0) - 1;
-    if (left > 0) {
-      this._screens.set(screen, left);
+    const remaining = (this._countByScreen.get(screen) ?? 0) - 1;
+    if (remaining > 0) {
+      this._countByScreen.set(screen, remaining);
     } else {
-      this._screens.delete(screen);
+      this._countByScreen.delete(screen);
     }
   }
 
   /** Keeps the table small: what least is held against goes first, and of that the oldest. */
-  private _forgetSome(): void {
-    const surplus = this._entries.size - kMaxKinds;
+  private _evictSurplus(): void {
+    const surplus = this._entries.size - kMaxFingerprints;
     if (surplus <= 0) {
       return;
     }
@@ -188,7 +188,7 @@
   }
 }
 
-function suspicionFrom({ id, at }: Crash, { identity, route, tested }: CrashedRun): Suspicion {
+function suspicionFrom({ id, at }: Crash, { identity, route, tested }: InFlightRequest): Suspicion {
   return {
     fingerprint: fingerprintOf(identity),
     screen: screenOf(identity),
--- a/packages/core/src/quarantine/suspects.ts
+++ b/packages/core/src/quarantine/suspects.ts
@@ -6,16 +6,16 @@
 /** The suspects as one daemon knows them, and how daemons tell each other: each change goes to all that are linked, and is passed on once. */
 
 import type { RequestIdentity } from './requestFingerprint.js';
-import { type Crash, type CrashedRun, SuspectTable } from './suspectTable.js';
+import { type Crash, type InFlightRequest, SuspectTable } from './suspectTable.js';
 import { type Suspicion, type Verdict, verdictOf } from './suspicion.js';
 
 /** Daemons that one which hears of a change passes it on to: those that the first one doesn't reach hear of it from others. */
-const kSpread = 4;
+const kForwardCount = 4;
 /** Kinds that a new link is told of at most, the gravest ones. */
-const kToldAtFirst = 100;
+const kMaxSnapshot = 100;
 
 /** Kinds that the record of one host keeps at most, the gravest ones. */
-const kLasting = 8;
+const kMaxPersisted = 8;
 
 /** What an operator should be able to see. */
 export type SuspectEvent =
@@ -31,7 +31,7 @@
   broadcast(suspects: Suspicion[]): void;
   /** Tells some of them. */
   sendSome(count: number, suspects: Suspicion[]): void;
-  note(event: SuspectEvent): void;
+  onEvent(event: SuspectEvent): void;
 }
 
 /** A kind that something is held against, with what follows from it. */
@@ -49,7 +49,7 @@
 export class Suspects {
   private readonly _table = new SuspectTable();
   /** Ends of this host's own targets. */
-  private readonly _ownCrashes = new Set<number>();
+  private readonly _localCrashes = new Set<number>();
 
   constructor(private readonly _deps: SuspectsDeps) {}
 
@@ -60,16 +60,16 @@
   }
 
   /** What a daemon that was just linked should know. */
-  get told(): Suspicion[] {
-    return this._table.list().slice(0, kToldAtFirst);
+  get snapshot(): Suspicion[] {
+    return this._table.list().slice(0, kMaxSnapshot);
   }
 
   /** Kinds that are held back since a target of this host ended by them: what its record keeps for a start of all daemons. */
-  get lasting(): Suspicion[] {
+  get persisted(): Suspicion[] {
     return this._table
       .list()
-      .filter((suspicion) => verdictOf(suspicion) === 'quarantined' && suspicion.marks.some(({ crash }) => this._ownCrashes.has(crash)))
-      .slice(0, kLasting);
+      .filter((suspicion) => verdictOf(suspicion) === 'quarantined' && suspicion.marks.some(({ crash }) => this._localCrashes.has(crash)))
+      .slice(0, kMaxPersisted);
   }
 
   /** Kinds that something is held against, the gravest first. */
@@ -89,8 +89,8 @@
   }
 
   /** Time since something was last learned of a kind, in milliseconds. */
-  quietMs(fingerprint: string): number {
-    return this._table.quietMs(fingerprint);
+  msSinceUpdate(fingerprint: string): number {
+    return this._table.msSinceUpdate(fingerprint);
   }
 
   /** Forgets what is old; called now and then. */
@@ -99,17 +99,17 @@
   }
 
   /** Takes what an earlier daemon of this host wrote into its record. */
-  recall(lasting: readonly Suspicion[]): void {
-    for (const { crash } of lasting.flatMap(({ marks }) => marks)) {
-      this._ownCrashes.add(crash);
+  restore(persisted: readonly Suspicion[]): void {
+    for (const { crash } of persisted.flatMap(({ marks }) => marks)) {
+      this._localCrashes.add(crash);
     }
-    this.take(lasting);
+    this.mergeFromPeer(persisted);
   }
 
   /** The target of this host ended while these ran. */
-  crashed(crash: Crash, runs: readonly CrashedRun[]): void {
-    this._ownCrashes.add(crash.id);
-    this._tell(this._table.crashed(crash, runs));
+  crashed(crash: Crash, inFlight: readonly InFlightRequest[]): void {
+    this._localCrashes.add(crash.id);
+    this._broadcast(this._table.crashed(crash, inFlight));
   }
 
   /** A request of a known kind ran to its end here. */
@@ -117,51 +117,51 @@
     const before = this._table.verdict(fingerprint);
     const changed = this._table.completed(fingerprint);
     if (changed.length > 0) {
-      this._deps.note({ kind: 'cleared', fingerprint, before });
+      this._deps.onEvent({ kind: 'cleared', fingerprint, before });
     }
-    this._tell(changed);
+    this._broadcast(changed);
   }
 
   /** Lets a kind run again; false when nothing is held against it. */
   release(fingerprint: string): boolean {
     const changed = this._table.release(fingerprint);
     if (changed.length > 0) {
-      this._deps.note({ kind: 'released', fingerprint });
+      this._deps.onEvent({ kind: 'released', fingerprint });
     }
-    this._tell(changed);
+    this._broadcast(changed);
     return changed.length > 0;
   }
 
   /** Takes what a call brought with it. */
-  learn(suspicion: Suspicion): void {
-    this._note(this._table.merge([suspicion]));
+  mergeFromCall(suspicion: Suspicion): void {
+    this._reportQuarantined(this._table.merge([suspicion]));
   }
 
   /** Takes what another daemon tells, and passes on what is new. */
-  take(told: readonly Suspicion[]): void {
-    const changed = this._table.merge(told);
-    this._note(changed);
+  mergeFromPeer(received: readonly Suspicion[]): void {
+    const changed = this._table.merge(received);
+    this._reportQuarantined(changed);
     if (changed.length > 0) {
-      this._deps.sendSome(kSpread, changed);
+      this._deps.sendSome(kForwardCount, changed);
     }
   }
 
   /** Tells what is known of a kind to daemons that don't seem to know. */
-  remind(suspicion: Suspicion): void {
+  rebroadcast(suspicion: Suspicion): void {
     this._deps.broadcast([suspicion]);
   }
 
-  private _tell(changed: Suspicion[]): void {
-    this._note(changed);
+  private _broadcast(changed: Suspicion[]): void {
+    this._reportQuarantined(changed);
     if (changed.length > 0) {
       this._deps.broadcast(changed);
     }
   }
 
-  private _note(changed: readonly Suspicion[]): void {
+  private _reportQuarantined(changed: readonly Suspicion[]): void {
     for (const suspicion of changed) {
       if (verdictOf(suspicion) === 'quarantined') {
-        this._deps.note({ kind: 'quarantined', suspicion });
+        this._deps.onEvent({ kind: 'quarantined', suspicion });
       }
     }
   }
--- a/packages/core/src/quarantine/suspicion.ts
+++ b/packages/core/src/quarantine/suspicion.ts
@@ -48,19 +48,19 @@
 /** Ends that one kind may cause before it is held back. */
 export const kMaxCrashes = 3;
 /** Ends from which on a kind is tried apart from other suspects, so that the next end names the one that caused it. */
-const kTrialCrashes = 2;
+const kProbeCrashes = 2;
 /** Tested ends that outweigh all that speaks for a kind: one may be chance. */
-const kProvedCrashes = 2;
+const kMaxProbedCrashes = 2;
 /** Ends that one suspicion tells of, the latest ones: more say nothing more. All daemons keep the same ones, whatever they heard first. */
 const kMaxMarks = 8;
 
 /** The ends that still count against a kind. */
 export function crashesOf({ marks }: Pick<Suspicion, 'marks'>): number {
-  return marks.filter(counts).length;
+  return marks.filter(countsAsCrash).length;
 }
 
 /** Whether an end was seen while the kind was on trial: no other can have caused it but by chance. */
-export function isProved({ marks }: Pick<Suspicion, 'marks'>): boolean {
+export function isConfirmed({ marks }: Pick<Suspicion, 'marks'>): boolean {
   return marks.some((mark) => mark.tested && !mark.released);
 }
 
@@ -68,11 +68,11 @@
 export function verdictOf(suspicion: Pick<Suspicion, 'marks'>): Verdict {
   const { marks } = suspicion;
   const crashes = crashesOf(suspicion);
-  const tested = marks.filter((mark) => mark.tested && !mark.released).length;
-  if (tested >= kProvedCrashes || crashes >= kMaxCrashes) {
+  const probedCrashes = marks.filter((mark) => mark.tested && !mark.released).length;
+  if (probedCrashes >= kMaxProbedCrashes || crashes >= kMaxCrashes) {
     return 'quarantined';
   }
-  if (crashes >= kTrialCrashes) {
+  if (crashes >= kProbeCrashes) {
     return 'trial';
   }
   // A kind that has run to its end before is most likely one that many share, and that is under way whenever a target ends.
@@ -80,22 +80,22 @@
 }
 
 /** Joins what two daemons know; `undefined` when the second adds nothing. */
-export function mergeMarks(known: readonly CrashMark[], told: readonly CrashMark[]): CrashMark[] | undefined {
-  const before = new Map(known.map((mark) => [mark.crash, mark]));
-  const joined = new Map(before);
-  for (const mark of told) {
-    const earlier = before.get(mark.crash);
-    joined.set(mark.crash, earlier ? joinMarks(earlier, mark) : mark);
+export function mergeMarks(known: readonly CrashMark[], received: readonly CrashMark[]): CrashMark[] | undefined {
+  const knownById = new Map(known.map((mark) => [mark.crash, mark]));
+  const mergedById = new Map(knownById);
+  for (const mark of received) {
+    const existing = knownById.get(mark.crash);
+    mergedById.set(mark.crash, existing ? mergeMark(existing, mark) : mark);
   }
-  const marks = [...joined.values()].sort((a, b) => a.at - b.at || a.crash - b.crash).slice(-kMaxMarks);
-  return marks.every((mark) => isSame(before.get(mark.crash), mark)) ? undefined : marks;
+  const marks = [...mergedById.values()].sort((a, b) => a.at - b.at || a.crash - b.crash).slice(-kMaxMarks);
+  return marks.every((mark) => isSameMark(knownById.get(mark.crash), mark)) ? undefined : marks;
 }
 
-function counts({ tested, cleared, released }: CrashMark): boolean {
+function countsAsCrash({ tested, cleared, released }: CrashMark): boolean {
   return !released && (tested || !cleared);
 }
 
-function joinMarks(a: CrashMark, b: CrashMark): CrashMark {
+function mergeMark(a: CrashMark, b: CrashMark): CrashMark {
   return {
     crash: a.crash,
     at: Math.min(a.at, b.at),
@@ -105,6 +105,6 @@
   };
 }
 
-function isSame(a: CrashMark | undefined, b: CrashMark): boolean {
+function isSameMark(a: CrashMark | undefined, b: CrashMark): boolean {
   return a?.at === b.at && a.tested === b.tested && a.cleared === b.cleared && a.released === b.released;
 }
--- a/packages/daemon/src/app/suspectOffers.ts
+++ b/packages/daemon/src/app/suspectOffers.ts
@@ -16,7 +16,7 @@
   type SuspectRefusal,
   type Suspects,
   type Suspicion,
-  trialTarget,
+  chooseProbeTarget,
   wallMs,
 } from '@gentiandrum/core';
 import type { OfferTerms } from '@gentiandrum/protocol';
@@ -76,7 +76,7 @@
       onRefuse: (offer, reason) => {
         offer.resolve(reason);
       },
-      isTrialTarget: (fingerprint, { service }) => this._isTrialTarget(fingerprint, service),
+      isProbeTarget: (fingerprint, { service }) => this._isTrialTarget(fingerprint, service),
     });
   }
 
@@ -177,6 +177,6 @@
 
   private _isTrialTarget(fingerprint: string, service: string): boolean {
     const targets = this._deps.targets(service).map((host) => ({ host }));
-    return trialTarget(fingerprint, targets, new Set())?.host === this._deps.target()?.name;
+    return chooseProbeTarget(fingerprint, targets, new Set())?.host === this._deps.target()?.name;
   }
 }
--- a/packages/daemon/src/app/suspectService.ts
+++ b/packages/daemon/src/app/suspectService.ts
@@ -30,7 +30,7 @@
       sendSome: (count, suspects) => {
         void this._tell(count, suspects);
       },
-      note: (event) => {
+      onEvent: (event) => {
         this._note(event);
       },
     });
@@ -38,8 +38,8 @@
 
   /** Takes what another daemon tells; returns what is known here. */
   heard(suspects: readonly Suspicion[]): Suspicion[] {
-    this.suspects.take(suspects);
-    return this.suspects.told;
+    this.suspects.mergeFromPeer(suspects);
+    return this.suspects.snapshot;
   }
 
   /** Asks some daemons for what they know. */
@@ -51,7 +51,7 @@
     const members = this._view.someAlive(count);
     const answers = await Promise.all(members.map(({ address }) => this._peers.tellSuspects(address, suspects)));
     for (const known of answers) {
-      this.suspects.take(known ?? []);
+      this.suspects.mergeFromPeer(known ?? []);
     }
   }
 
--- a/packages/mesh/src/app/calls/callExchange.ts
+++ b/packages/mesh/src/app/calls/callExchange.ts
@@ -21,10 +21,10 @@
   type RouteEnd,
   isVain,
   routeRequest,
-  sparesTarget,
+  mayProbe,
   type Suspects,
   type TargetRecord,
-  trialTarget,
+  chooseProbeTarget,
   type Verdict,
 } from '@gentiandrum/core';
 import type { Route } from '@gentiandrum/protocol';
@@ -53,7 +53,7 @@
   choose(candidates: readonly TargetRecord[], excluded: ReadonlySet<string>, route: PlacedRoute): TargetRecord | undefined;
   offer(target: TargetRecord, call: PeerCall, done: OfferDone): OfferHandle;
   chains: ChainModel;
-  suspects: Pick<Suspects, 'assess' | 'quietMs'>;
+  suspects: Pick<Suspects, 'assess' | 'msSinceUpdate'>;
   deadlines: Deadlines;
   sent(target: TargetRecord, first: boolean): void;
   ended(host: string, route: string, end: PlacedEnd): void;
@@ -164,7 +164,7 @@
   private _mayTry(): boolean {
     const { service } = this._req;
     const targets = { ready: this._deps.candidates(service).length, unreachable: this._deps.unreachable(service) };
-    return sparesTarget(targets, this._deps.suspects.quietMs(this._assessed?.suspicion.fingerprint ?? ''));
+    return mayProbe(targets, this._deps.suspects.msSinceUpdate(this._assessed?.suspicion.fingerprint ?? ''));
   }
 
   /** A suspect goes where all daemons send its kind, so that its copies meet at one gate. */
@@ -172,7 +172,7 @@
     const { route, service } = this._req;
     const candidates = this._deps.candidates(service);
     if (this._assessed && this._assessed.verdict !== 'clear') {
-      return trialTarget(this._assessed.suspicion.fingerprint, candidates, excluded);
+      return chooseProbeTarget(this._assessed.suspicion.fingerprint, candidates, excluded);
     }
     return this._deps.choose(candidates, excluded, route);
   }
--- a/packages/mesh/src/app/calls/targetGate.ts
+++ b/packages/mesh/src/app/calls/targetGate.ts
@@ -122,7 +122,7 @@
       onRefuse: (waiting, reason) => {
         this._refuse(waiting, reason);
       },
-      isTrialTarget: (fingerprint) => _deps.isTrialTarget(fingerprint, this._life.known.service),
+      isProbeTarget: (fingerprint) => _deps.isTrialTarget(fingerprint, this._life.known.service),
     });
     this._gate = new SlotGate<Waiting>(
       {
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -15,7 +15,7 @@
   SuspensionWatch,
   TargetDirectory,
   type TargetRecord,
-  trialTarget,
+  chooseProbeTarget,
 } from '@gentiandrum/core';
 import type { MeshSettings } from '@gentiandrum/protocol';
 import type { PeerCall } from '../client/callCodec.js';
@@ -118,7 +118,7 @@
       sendSome: (count, suspects) => {
         this._network.sendSome(count, { type: 'suspects', suspects });
       },
-      note: (event) => {
+      onEvent: (event) => {
         logSuspectEvent(_events, event);
         // Once what is being learned now is all there.
         setImmediate(() => {
@@ -133,7 +133,8 @@
       address: _settings.target.address,
       maxConnections: (service) => this._configs.maxConnections(service) ?? kAssumedConnections,
       targets: (service) => this._directory.ready(service).length,
-      isTrialTarget: (fingerprint, service) => trialTarget(fingerprint, this._directory.ready(service), kNoHosts)?.host === _settings.id,
+      isTrialTarget: (fingerprint, service) =>
+        chooseProbeTarget(fingerprint, this._directory.ready(service), kNoHosts)?.host === _settings.id,
       chargeMs: (route) => this._placement.chargeMs(route),
       keyHolds: (workspace) => this._workspaces.keyHolds(workspace),
       onChange: () => {
@@ -359,9 +360,9 @@
         this._configs.take(cfg, 'peer');
       },
       onSuspects: (suspects) => {
-        this._suspects.take(suspects);
+        this._suspects.mergeFromPeer(suspects);
       },
-      suspects: () => this._suspects.told,
+      suspects: () => this._suspects.snapshot,
       onTakenOver: (host) => {
         this._directory.presumeGone(host);
       },
--- a/packages/mesh/src/app/records/hostRecords.ts
+++ b/packages/mesh/src/app/records/hostRecords.ts
@@ -138,7 +138,7 @@
 
   /** Makes known which kinds are held back since the target here ended by them, when the record says something else. */
   tellSuspects(): void {
-    const { lasting } = this._deps.suspects;
+    const { persisted: lasting } = this._deps.suspects;
     const same = lasting.length === this._suspects.length && lasting.every((suspicion, i) => suspicion === this._suspects[i]);
     if (!same) {
       this._suspects = lasting;
@@ -206,7 +206,7 @@
     const { directory, events, suspects } = this._deps;
     this._takeLearned(record);
     if (record.suspects) {
-      suspects.take(record.suspects);
+      suspects.mergeFromPeer(record.suspects);
     }
     const before = directory.get(record.host);
     if (!directory.learn(record)) {
@@ -240,7 +240,7 @@
     this._predecessorAt = Math.max(this._predecessorAt ?? 0, record.epoch);
     this._deps.gate().remember(record);
     this._takeLearned(record);
-    this._deps.suspects.recall(record.suspects ?? []);
+    this._deps.suspects.restore(record.suspects ?? []);
     if (record.epoch > this._epoch) {
       this._epoch = record.epoch + 1;
       this.tell();
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -125,7 +125,7 @@
       candidates,
       unreachable: () => undefined,
       absent: () => 0,
-      suspects: new Suspects({ broadcast: () => undefined, sendSome: () => undefined, note: () => undefined }),
+      suspects: new Suspects({ broadcast: () => undefined, sendSome: () => undefined, onEvent: () => undefined }),
       picker: new TargetPicker(id, 'one', seededRandom(1)),
       rootFilter: new RootFilter(() => 'goodput'),
       ledger: this.ledger,
--- a/tests/mesh/callExchange.spec.ts
+++ b/tests/mesh/callExchange.spec.ts
@@ -38,7 +38,7 @@
       return { cancel: () => undefined };
     },
     chains: new ChainModel(),
-    suspects: { assess: () => undefined, quietMs: () => 0 },
+    suspects: { assess: () => undefined, msSinceUpdate: () => 0 },
     unreachable: () => 0,
     deadlines: new Deadlines(),
     sent: () => undefined,
--- a/tests/quarantine/quarantineFleet.ts
+++ b/tests/quarantine/quarantineFleet.ts
@@ -13,33 +13,33 @@
   type RequestIdentity,
   type RouteEnd,
   routeRequest,
-  sparesTarget,
+  mayProbe,
   type SuspectCall,
   SuspectGate,
   Suspects,
   type Suspicion,
   type TargetRecord,
-  trialTarget,
+  chooseProbeTarget,
   type Verdict,
 } from '@gentiandrum/core';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kLethalMs = 30;
-const kDownMs = 1_500;
-const kDownSpreadMs = 1_500;
+const kRestartMs = 1_500;
+const kRestartSpreadMs = 1_500;
 /** Time after which a gate knows that its target ended, in milliseconds. */
-const kNoticeMs = 6;
-const kLinkLostMs = 300;
+const kDetectionMs = 6;
+const kLinkTimeoutMs = 300;
 const kDeadlineMs = 2_000;
 const kMaxAttempts = 3;
 /** Packets get lost: what follows on the link waits until they were sent again. */
-const kStalledShare = 0.05;
+const kStallProbability = 0.05;
 const kStallMs = 300;
-const kRepeatedShare = 0.05;
+const kDuplicateProbability = 0.05;
 const kMaxDelayMs = 4;
 
 /** One kind of request. */
-export interface Kind {
+export interface RequestType {
   identity: RequestIdentity;
   lethal: boolean;
   idempotent: boolean;
@@ -48,12 +48,12 @@
 
 /** What became of one request. */
 export interface Outcome {
-  kind: Kind;
+  type: RequestType;
   end: RouteEnd | 'unfinished';
 }
 
 interface ModelCall extends SuspectCall {
-  kind: Kind;
+  type: RequestType;
   reply: (end: CallEnd) => void;
 }
 
@@ -64,7 +64,7 @@
   /** Hosts that it takes for ready. */
   readonly ready = new Set<string>();
   /** Life of the daemon: replies meant for an earlier one are lost. */
-  life = 0;
+  generation = 0;
   targetUp = true;
   incarnation = 1;
   running = new Set<ModelCall>();
@@ -80,7 +80,7 @@
 
   /** The daemon starts again, and knows nothing. */
   restart(): void {
-    this.life++;
+    this.generation++;
     this.suspects = this._newSuspects();
     this.gate = this._newGate();
     this.running = new Set();
@@ -90,14 +90,14 @@
   private _newSuspects(): Suspects {
     return new Suspects({
       broadcast: (suspects) => {
-        this._fleet.tellAll(this, suspects);
+        this._fleet.broadcast(this, suspects);
       },
       sendSome: (count, suspects) => {
-        this._fleet.tellSome(this, count, suspects);
+        this._fleet.sendToSome(this, count, suspects);
       },
-      note: (event) => {
+      onEvent: (event) => {
         if (event.kind === 'quarantined') {
-          this._fleet.held.add(event.suspicion.fingerprint);
+          this._fleet.quarantined.add(event.suspicion.fingerprint);
         }
       },
     });
@@ -111,7 +111,7 @@
       onRefuse: (call, reason) => {
         call.reply({ kind: 'not_run', reason, retryAfterMs: 0 });
       },
-      isTrialTarget: (fingerprint) => trialTarget(fingerprint, this._fleet.readyAt(this), new Set())?.host === this.name,
+      isProbeTarget: (fingerprint) => chooseProbeTarget(fingerprint, this._fleet.readyAt(this), new Set())?.host === this.name,
     });
   }
 }
@@ -121,15 +121,15 @@
   readonly time = new VirtualTime();
   readonly outcomes: Outcome[] = [];
   /** Names of the kinds that any daemon held back. */
-  readonly held = new Set<string>();
+  readonly quarantined = new Set<string>();
   /** Ends of targets by the kind that caused them; undefined for those by themselves. */
-  readonly ends: { at: number; kind: Kind | undefined }[] = [];
+  readonly crashes: { at: number; type: RequestType | undefined }[] = [];
   /** Times at which lethal requests began to run. */
-  readonly lethalStarts: { at: number; kind: Kind }[] = [];
+  readonly lethalStarts: { at: number; type: RequestType }[] = [];
   readonly hosts: ModelHost[];
   private readonly _arrivals = new Map<string, number>();
   /** While set, the zones don't reach each other. */
-  cut = false;
+  partitioned = false;
 
   constructor(
     count: number,
@@ -152,20 +152,20 @@
   }
 
   /** A caller's request at a host. */
-  request(host: ModelHost, kind: Kind): void {
-    const outcome: Outcome = { kind, end: 'unfinished' };
+  request(host: ModelHost, type: RequestType): void {
+    const outcome: Outcome = { type, end: 'unfinished' };
     this.outcomes.push(outcome);
     const deadline = monotonicMs() + kDeadlineMs;
-    const { life } = host;
-    const suspicion = (): Suspicion | undefined => host.suspects.assess(() => kind.identity)?.suspicion;
+    const { generation } = host;
+    const suspicion = (): Suspicion | undefined => host.suspects.assess(() => type.identity)?.suspicion;
     const verdict = (): Verdict => host.suspects.verdict(suspicion()?.fingerprint ?? '');
     const candidates = (): TargetRecord[] => this.readyAt(host);
     const procedure = routeRequest(
-      { idempotent: kind.idempotent, maxAttempts: kMaxAttempts },
+      { idempotent: type.idempotent, maxAttempts: kMaxAttempts },
       {
         choose: (excluded) => {
           if (verdict() !== 'clear') {
-            return trialTarget(suspicion()?.fingerprint ?? '', candidates(), excluded);
+            return chooseProbeTarget(suspicion()?.fingerprint ?? '', candidates(), excluded);
           }
           const open = candidates().filter((record) => !excluded.has(record.host));
           return open[Math.floor(this._random() * open.length)];
@@ -173,21 +173,21 @@
         verdict,
         mayTry: () => {
           const ready = candidates().length;
-          return sparesTarget({ ready, unreachable: this.hosts.length - ready }, host.suspects.quietMs(suspicion()?.fingerprint ?? ''));
+          return mayProbe({ ready, unreachable: this.hosts.length - ready }, host.suspects.msSinceUpdate(suspicion()?.fingerprint ?? ''));
         },
         remainingMs: () => deadline - monotonicMs(),
         usefulMs: () => 5,
       },
     );
     const advance = (step: IteratorResult<Offer, RouteEnd>): void => {
-      if (host.life !== life || outcome.end !== 'unfinished') {
+      if (host.generation !== generation || outcome.end !== 'unfinished') {
         return;
       }
       if (step.done === true) {
         outcome.end = step.value;
         return;
       }
-      this._offer(host, step.value, { kind, suspicion: step.value.suspect ? suspicion() : undefined, deadline }, (end) => {
+      this._offer(host, step.value, { type, suspicion: step.value.suspect ? suspicion() : undefined, deadline }, (end) => {
         advance(procedure.next(end));
       });
     };
@@ -202,15 +202,15 @@
     }
     const { incarnation } = host;
     host.running.add(call);
-    if (call.kind.lethal) {
-      this.lethalStarts.push({ at: this.time.now, kind: call.kind });
+    if (call.type.lethal) {
+      this.lethalStarts.push({ at: this.time.now, type: call.type });
     }
-    this.time.after(call.kind.lethal ? kLethalMs : call.kind.runMs, () => {
+    this.time.after(call.type.lethal ? kLethalMs : call.type.runMs, () => {
       if (host.incarnation !== incarnation || !host.targetUp || !host.running.has(call)) {
         return;
       }
-      if (call.kind.lethal) {
-        this.end(host, call.kind);
+      if (call.type.lethal) {
+        this.crash(host, call.type);
         return;
       }
       host.running.delete(call);
@@ -220,57 +220,57 @@
   }
 
   /** The target of a host ends, and is back after a while. */
-  end(host: ModelHost, kind: Kind | undefined): void {
+  crash(host: ModelHost, type: RequestType | undefined): void {
     if (!host.targetUp) {
       return;
     }
     host.targetUp = false;
-    this.ends.push({ at: this.time.now, kind });
-    const ended = [...host.running];
+    this.crashes.push({ at: this.time.now, type });
+    const inFlight = [...host.running];
     host.running = new Set();
-    const { life } = host;
-    this.time.after(kNoticeMs, () => {
-      if (host.life !== life) {
+    const { generation } = host;
+    this.time.after(kDetectionMs, () => {
+      if (host.generation !== generation) {
         return;
       }
       host.gate.crashed(
         { id: hashText(`${host.name} ${host.incarnation}`), at: this.time.now },
-        ended.map((call) => ({ identity: call.identity(), route: call.route, call })),
+        inFlight.map((call) => ({ identity: call.identity(), route: call.route, call })),
       );
-      this._tellState(host, false);
+      this._sendState(host, false);
       for (const waiting of host.gate.drain()) {
         waiting.reply({ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 });
       }
-      for (const call of ended) {
+      for (const call of inFlight) {
         this._finish(host, call, { kind: 'lost', reason: 'target ended' });
       }
     });
-    this.time.after(kDownMs + this._random() * kDownSpreadMs, () => {
+    this.time.after(kRestartMs + this._random() * kRestartSpreadMs, () => {
       host.targetUp = true;
       host.incarnation++;
-      this._tellState(host, true);
+      this._sendState(host, true);
     });
   }
 
   /** Tells every other daemon. */
-  tellAll(from: ModelHost, suspects: Suspicion[]): void {
+  broadcast(from: ModelHost, suspects: Suspicion[]): void {
     for (const to of this.hosts) {
-      this._tell(from, to, suspects);
+      this._sendSuspects(from, to, suspects);
     }
   }
 
   /** Tells some other daemons. */
-  tellSome(from: ModelHost, count: number, suspects: Suspicion[]): void {
+  sendToSome(from: ModelHost, count: number, suspects: Suspicion[]): void {
     for (let i = 0; i < count; i++) {
-      this._tell(from, this.anyHost(), suspects);
+      this._sendSuspects(from, this.anyHost(), suspects);
     }
   }
 
   /** A daemon is linked with all others anew, and each tells the other what it knows. */
   relink(host: ModelHost): void {
     for (const other of this.hosts) {
-      this._tell(other, host, other.suspects.told);
-      this._tell(host, other, host.suspects.told);
+      this._sendSuspects(other, host, other.suspects.snapshot);
+      this._sendSuspects(host, other, host.suspects.snapshot);
     }
   }
 
@@ -290,7 +290,7 @@
   private _offer(
     from: ModelHost,
     { target }: Offer,
-    { kind, suspicion, deadline }: { kind: Kind; suspicion: Suspicion | undefined; deadline: number },
+    { type, suspicion, deadline }: { type: RequestType; suspicion: Suspicion | undefined; deadline: number },
     done: (end: CallEnd) => void,
   ): void {
     const to = this._hostAt(this.hosts.findIndex(({ name }) => name === target.host));
@@ -301,10 +301,10 @@
         done(end);
       }
     };
-    const { life } = to;
+    const { generation } = to;
     const call: ModelCall = {
-      kind,
-      identity: () => kind.identity,
+      type,
+      identity: () => type.identity,
       route: 'r',
       suspicion,
       waitUntil: (monotonicMs() + deadline) / 2,
@@ -315,13 +315,13 @@
       },
     };
     this._send(from, to, () => {
-      if (to.life === life) {
+      if (to.generation === generation) {
         this._takeOffer(to, call);
       }
     });
     // The link is lost with the daemon at its other end, or by a cut.
-    this.time.after(kLinkLostMs, () => {
-      if (to.life !== life || this._isCut(from, to)) {
+    this.time.after(kLinkTimeoutMs, () => {
+      if (to.generation !== generation || this._isPartitioned(from, to)) {
         settle({ kind: 'lost', reason: 'link lost' });
       }
     });
@@ -349,7 +349,7 @@
     host.gate.leave(call);
   }
 
-  private _tellState(host: ModelHost, ready: boolean): void {
+  private _sendState(host: ModelHost, ready: boolean): void {
     for (const to of this.hosts) {
       this._send(host, to, () => {
         if (ready) {
@@ -361,33 +361,33 @@
     }
   }
 
-  private _tell(from: ModelHost, to: ModelHost, suspects: Suspicion[]): void {
+  private _sendSuspects(from: ModelHost, to: ModelHost, suspects: Suspicion[]): void {
     if (to === from || suspects.length === 0) {
       return;
     }
-    const times = this._random() < kRepeatedShare ? 2 : 1;
+    const times = this._random() < kDuplicateProbability ? 2 : 1;
     for (let i = 0; i < times; i++) {
       this._send(from, to, () => {
-        to.suspects.take(suspects);
+        to.suspects.mergeFromPeer(suspects);
       });
     }
   }
 
   private _send(from: ModelHost, to: ModelHost, arrive: () => void): void {
-    if (this._isCut(from, to)) {
+    if (this._isPartitioned(from, to)) {
       return;
     }
     // What travels on one link arrives in its order.
     const link = `${from.name} ${to.name}`;
-    const stallMs = this._random() < kStalledShare ? this._random() * kStallMs : 0;
+    const stallMs = this._random() < kStallProbability ? this._random() * kStallMs : 0;
     const delay = from === to ? 0 : Math.ceil(1 + stallMs + this._random() * (kMaxDelayMs - 1));
     const at = Math.max(this._arrivals.get(link) ?? 0, this.time.now + delay);
     this._arrivals.set(link, at);
     this.time.after(at - this.time.now, arrive);
   }
 
-  private _isCut(from: ModelHost, to: ModelHost): boolean {
-    return this.cut && from.zone !== to.zone;
+  private _isPartitioned(from: ModelHost, to: ModelHost): boolean {
+    return this.partitioned && from.zone !== to.zone;
   }
 }
 
--- a/tests/quarantine/suspectTable.spec.ts
+++ b/tests/quarantine/suspectTable.spec.ts
@@ -27,7 +27,7 @@
   .uniqueArray(aMark, { selector: ({ crash: id }) => id, maxLength: 12 })
   .map((marks): CrashMark[] => marks.map((mark) => ({ ...mark, at: mark.crash * 10 })));
 
-function join(a: readonly CrashMark[], b: readonly CrashMark[]): readonly CrashMark[] {
+function merge(a: readonly CrashMark[], b: readonly CrashMark[]): readonly CrashMark[] {
   return mergeMarks(a, b) ?? a;
 }
 
@@ -53,9 +53,9 @@
   it('should come to the same in whatever order, and however often, it is heard', (t) => {
     fc.assert(
       fc.property(someMarks, someMarks, someMarks, (a, b, c) => {
-        const start = join([], a);
-        t.deepEqual(join(join(start, b), c), join(join(start, c), b));
-        const known = join(join(start, b), c);
+        const start = merge([], a);
+        t.deepEqual(merge(merge(start, b), c), merge(merge(start, c), b));
+        const known = merge(merge(start, b), c);
         t.is(mergeMarks(known, b), undefined);
         t.is(mergeMarks(known, known), undefined);
       }),
