--- a/packages/core/src/quarantine/probeTarget.ts
+++ b/packages/core/src/quarantine/probeTarget.ts
@@ -3,32 +3,32 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Where, and when, one kind of request is tried. */
+/** Decides on which target, and when, a fingerprint is probed. */
 
 import { RendezvousRank } from '../util/rendezvous.js';
 
-/** Time after which a kind is tried also where few targets are left, in milliseconds: those that are down may be so for good. */
+/** Time since the last update after which a probe runs even with few targets left, as those may not come back, in milliseconds. */
 const kRecoveryMs = 5_000;
 
-/** Targets of a service, as one daemon knows them. */
+/** Number of targets of a service, as known to one daemon. */
 export interface ServiceTargets {
   ready: number;
   unreachable: number;
 }
 
 /**
- * Whether a trial may cost a service one more target: half of them should be left then. Two kinds that each end three targets within
- * a tenth of a second leave nothing of a service with six.
+ * Whether a service can afford to lose one more target to a probe: while targets are unreachable, at least half of all must remain. Without
+ * this check, two fingerprints that crash targets at the same time could take down a small service completely.
  *
- * @param msSinceUpdate time since something was last learned of the kind, in milliseconds
+ * @param msSinceUpdate time since the suspicion last changed, in milliseconds
  */
 export function mayProbe({ ready, unreachable }: ServiceTargets, msSinceUpdate: number): boolean {
   return unreachable === 0 || (ready - 1) * 2 >= ready + unreachable || msSinceUpdate > kRecoveryMs;
 }
 
 /**
- * The target where all daemons try a kind: the same for all that know the same targets, without a message; another kind has another one,
- * so that suspects are spread.
+ * The target that probes a fingerprint. Daemons that know the same targets choose the same one without communicating, and different
+ * fingerprints are spread over the targets.
  */
 export function chooseProbeTarget<T extends { host: string }>(
   fingerprint: string,
--- a/packages/core/src/quarantine/requestFingerprint.ts
+++ b/packages/core/src/quarantine/requestFingerprint.ts
@@ -4,13 +4,13 @@
  */
 
 /**
- * Tells whether two requests are of one kind: the same work, whoever sent them, and with whatever id, key or deadline. The service that
- * a call comes from is no part of it: one request that comes in at hosts of four services would be four kinds, and end targets for each.
+ * Fingerprints of requests. Requests for the same work have the same fingerprint, regardless of caller, request id, key and deadline. The
+ * calling service is excluded, so that crashes caused by a request count together whichever service it enters through.
  */
 
 import { hashBytes, hashText } from '../util/hashText.js';
 
-/** What a target is asked to do. */
+/** The parts of a request that its fingerprint covers. */
 export interface RequestIdentity {
   method: string;
   host: string;
@@ -19,27 +19,24 @@
   body: Uint8Array;
 }
 
-/** Separates the parts of a head: none of them can hold it. */
+/** Separates the parts of a head. None of the parts can contain it. */
 const kSeparator = '\n';
 const kRadix = 36;
-/** Seeds of the two halves of a fingerprint. */
+/** Hash seeds of the two halves of a fingerprint. */
 const kSeeds = [0x51ed270b, 0x2545f491] as const;
 
-/** Hash of all but the body's bytes: a request whose screen is not known needs no look at its body. */
+/** Hash of everything but the body's content: a cheap pre-check that rules out most requests without hashing their bodies. */
 export function screenOf(identity: RequestIdentity): number {
   return hashText(headOf(identity));
 }
 
-/**
- * Name of a kind of request, 64 bits as text: with 32 a fleet that holds a hundred kinds back would refuse an innocent request every
- * five minutes at 140,000 calls a second.
- */
+/** Fingerprint of a request: 64 bits as text. 32 bits would let unrelated requests collide with quarantined ones at high request rates. */
 export function fingerprintOf(identity: RequestIdentity): string {
   const head = headOf(identity);
   return kSeeds.map((seed) => hashBytes(identity.body, hashText(head, seed)).toString(kRadix)).join('-');
 }
 
-/** Joined so that no two identities give one text: the length stands for the body, and no other part holds the separator. */
+/** Joins the parts unambiguously. The body is represented by its length. */
 function headOf({ method, host, path, body }: RequestIdentity): string {
   return [method, host.toLowerCase(), path, body.length].join(kSeparator);
 }
--- a/packages/core/src/quarantine/suspectGate.ts
+++ b/packages/core/src/quarantine/suspectGate.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stands before the gate of one target: lets suspects through one at a time, and notes what each run says of its kind. */
+/** Runs ahead of the admission gate of one target: serializes suspect requests and records the result of each run for its fingerprint. */
 
 import type { RequestIdentity } from './requestFingerprint.js';
 import { SuspectQueue } from './suspectQueue.js';
@@ -11,36 +11,35 @@
 import type { Crash } from './suspectTable.js';
 import type { Suspicion } from './suspicion.js';
 
-/** A call as far as suspects are concerned. */
+/** The properties of a call that the suspect gate uses. */
 export interface SuspectCall {
-  /** What tells its kind; asked only when something is known of any. */
+  /** Returns the fingerprinted parts; called only while any suspicion is known. */
   readonly identity: () => RequestIdentity;
   readonly route: string;
-  /** What its ingress knows of its kind; undefined when it holds nothing against it. */
+  /** The suspicion that the ingress attached; undefined when it knows of none. */
   readonly suspicion: Suspicion | undefined;
-  /** Time up to which it may wait, on the monotonic clock. */
+  /** Deadline for waiting, in milliseconds of the monotonic clock. */
   waitUntil: number;
 }
 
-/** Why a suspect is refused: it can't be tried here now, or its kind does not run. */
+/** Why a suspect is refused: it cannot run on this target now, or its fingerprint is quarantined. */
 export type SuspectRefusal = 'suspected' | 'quarantined';
 
-/** What is to be done with a call. */
 export type SuspectDecision = { kind: 'pass' } | { kind: 'wait' } | { kind: 'refused'; reason: SuspectRefusal };
 
-/** What the gate tells its surroundings of calls that waited. */
+/** Callbacks of the gate. `onPass` and `onRefuse` report calls that waited. */
 export interface SuspectGateEvents<T extends SuspectCall> {
   onPass(call: T): void;
   onRefuse(call: T, reason: SuspectRefusal): void;
-  /** Whether this is the target where a kind is tried, as far as is known here. */
+  /** Whether this target is the one that probes the fingerprint, according to the local target directory. */
   isProbeTarget(fingerprint: string, call: T): boolean;
 }
 
-/** A run that its target did not survive. */
+/** A call that was in flight when its target crashed. */
 export interface InFlightCall<T extends SuspectCall> {
   identity: RequestIdentity;
   route: string;
-  /** The call, unless it was over before: a caller that leaves does not end the run. */
+  /** Undefined when the call was over before the crash: a run continues after its caller disconnects. */
   call: T | undefined;
 }
 
@@ -51,7 +50,7 @@
 
 const kPass: SuspectDecision = { kind: 'pass' };
 
-/** The suspects at one target. */
+/** Suspect requests at one target. */
 export class SuspectGate<T extends SuspectCall> {
   private readonly _queue: SuspectQueue<SuspectEntry<T>>;
   private readonly _suspectCalls = new Map<T, SuspectEntry<T>>();
@@ -63,12 +62,12 @@
     this._queue = new SuspectQueue((fingerprint) => _suspects.verdict(fingerprint));
   }
 
-  /** Calls that wait for other suspects to end. */
+  /** Number of calls that wait for other suspects to finish. */
   get waiting(): number {
     return this._queue.waiting.length;
   }
 
-  /** Decides on a call that came. One that passes or waits is to be reported with {@link leave} when it is over. */
+  /** Decides on an arriving call. The caller must report each call that passes or waits with {@link leave} when it is over. */
   offer(call: T): SuspectDecision {
     const { suspicion } = call;
     if (suspicion) {
@@ -80,12 +79,12 @@
     }
     const { suspicion: known, verdict } = assessed;
     if (verdict === 'quarantined' || !suspicion) {
-      // Its ingress does not know, and may have sent it to another target than the other daemons do.
+      // An ingress without the current suspicion may have chosen another target than the other daemons, so send the suspicion to them.
       this._suspects.rebroadcast(known);
       return { kind: 'refused', reason: verdict === 'quarantined' ? verdict : 'suspected' };
     }
     if (verdict === 'trial' && !this._events.isProbeTarget(known.fingerprint, call)) {
-      // Its ingress knows fewer targets, or more; two trials at once could end two.
+      // The ingress has a different view of the ready targets. Two probes at once could crash two targets.
       return { kind: 'refused', reason: 'suspected' };
     }
     const suspect = { call, fingerprint: known.fingerprint };
@@ -93,7 +92,7 @@
     return this._queue.enter(suspect) ? kPass : { kind: 'wait' };
   }
 
-  /** A call is over, whether it ran or not: others that waited for it may go on. */
+  /** Removes a call that is over, whether it ran or not, and starts or refuses the calls that waited for it. */
   leave(call: T): void {
     const suspect = this._suspectCalls.get(call);
     if (!suspect) {
@@ -109,7 +108,7 @@
     }
   }
 
-  /** Takes back a call that waits; false when it doesn't. */
+  /** Removes a waiting call; false when it is not waiting. */
   withdraw(call: T): boolean {
     const isWaiting = this._queue.waiting.some((suspect) => suspect.call === call);
     if (isWaiting) {
@@ -118,7 +117,7 @@
     return isWaiting;
   }
 
-  /** Takes out all that wait. */
+  /** Removes and returns all waiting calls. */
   drain(): T[] {
     const calls = this._queue.drain().map(({ call }) => call);
     for (const call of calls) {
@@ -127,14 +126,14 @@
     return calls;
   }
 
-  /** Refuses those that have waited for long enough; called a few times a second or more. */
+  /** Refuses waiting calls whose `waitUntil` has passed; called several times a second. */
   expire(now: number): void {
     for (const { call } of this._queue.waiting.filter((suspect) => suspect.call.waitUntil <= now)) {
       this._refuse(call, 'suspected');
     }
   }
 
-  /** A request ran to its end, which speaks for its kind: one that ends its targets never does. */
+  /** Clears the fingerprint of a call that ran to completion, as a request that crashes its target never does. */
   completed(call: T): void {
     const assessed = this._suspects.assess(call.identity);
     if (assessed) {
@@ -142,7 +141,7 @@
     }
   }
 
-  /** The target ended while these ran. */
+  /** Records a crash of the target with the calls that were in flight. */
   crashed(crash: Crash, inFlight: readonly InFlightCall<T>[]): void {
     this._suspects.crashed(
       crash,
--- a/packages/core/src/quarantine/suspectQueue.ts
+++ b/packages/core/src/quarantine/suspectQueue.ts
@@ -4,37 +4,36 @@
  */
 
 /**
- * Order of suspects at one target: one of each kind at a time, and of those on trial one at all. All daemons send a kind to the same
- * target, so copies that come at many hosts together end one target and not one each.
+ * Serializes suspects at one target: one request per fingerprint at a time, and one probe in total. All daemons send a fingerprint to the
+ * same target, so copies that arrive at many hosts at once crash one target instead of one each.
  */
 
 import type { Verdict } from './suspicion.js';
 
-/** A suspect at a gate. */
 export interface QueuedSuspect {
   fingerprint: string;
 }
 
-/** Suspects at one target. */
+/** Queue of the suspects at one target. */
 export class SuspectQueue<T extends QueuedSuspect> {
   private readonly _running = new Map<string, T>();
   private _probe: T | undefined;
   private _waiting: T[] = [];
 
-  /** @param _verdict what follows for a kind as of now */
+  /** @param _verdict returns the current verdict on a fingerprint */
   constructor(private readonly _verdict: (fingerprint: string) => Verdict) {}
 
-  /** Suspects that wait for others to end, in the order in which they came. */
+  /** Waiting suspects in order of arrival. */
   get waiting(): readonly T[] {
     return this._waiting;
   }
 
-  /** Whether a call is the one on trial. */
+  /** Whether a call is the running probe. */
   isProbe(call: T): boolean {
     return this._probe === call;
   }
 
-  /** Takes a suspect: true when it may run now, else it waits. */
+  /** Adds a suspect; returns true when it may run now, false when it waits. */
   enter(call: T): boolean {
     if (this._mayRun(call)) {
       this._start(call);
@@ -44,7 +43,7 @@
     return false;
   }
 
-  /** A suspect has ended, or was refused; returns those that may go on now, whatever is left of the suspicion against them. */
+  /** Removes a suspect that finished or was refused. Returns those that no longer wait, including ones that are quarantined by now. */
   leave(call: T): T[] {
     if (this._running.get(call.fingerprint) === call) {
       this._running.delete(call.fingerprint);
@@ -56,7 +55,7 @@
     return this._startWaiting();
   }
 
-  /** Takes out all that wait. */
+  /** Removes and returns all waiting suspects. */
   drain(): T[] {
     return this._waiting.splice(0);
   }
@@ -79,7 +78,7 @@
     switch (verdict) {
       case 'clear':
       case 'quarantined':
-        // Decided meanwhile: there is nothing to wait for.
+        // The verdict changed while the call waited, so it no longer depends on other runs.
         return true;
       case 'suspect':
         return !this._running.has(fingerprint);
--- a/packages/core/src/quarantine/suspectTable.ts
+++ b/packages/core/src/quarantine/suspectTable.ts
@@ -4,62 +4,62 @@
  */
 
 /**
- * Kinds of requests that ran on targets while those ended, as one daemon knows them. A target that ends takes dozens of requests with
- * it, of which one is guilty at most: all are suspects, and each that runs to its end somewhere is cleared.
+ * Table of the suspicions that one daemon knows. All requests in flight when a target crashes become suspects, as at most one of them
+ * caused the crash; a fingerprint is cleared when a request with it completes on any host.
  */
 
 import { monotonicMs } from '../util/clock.js';
 import { fingerprintOf, type RequestIdentity, screenOf } from './requestFingerprint.js';
 import { type CrashMark, crashesOf, isConfirmed, kMaxCrashes, mergeMarks, type Suspicion, type Verdict, verdictOf } from './suspicion.js';
 
-/** Kinds that are known at once. */
+/** Maximum number of fingerprints in the table. */
 const kMaxFingerprints = 1_000;
-/** Time after which nothing is held any more against a kind that no end was proved of, in milliseconds. */
+/** Time after the last change at which a fingerprint that is not quarantined expires, in milliseconds. */
 const kExpiryMs = 60 * 60_000;
-/** Time after which a kind that is held back is tried once more, in milliseconds; doubles with each further end. */
+/** Time until a quarantined fingerprint is probed again, in milliseconds; doubles with each further crash. */
 const kFirstQuarantineMs = 60 * 60_000;
 /**
- * The same for a kind that has not been on trial, in milliseconds: copies of it ran on three targets that ended together, which a
- * lookup that many share may have done too.
+ * Time until a quarantined fingerprint without a crash during a probe is probed, in milliseconds. It is short, as a common request can be
+ * in flight on several targets that crash together for another reason.
  */
 const kUnconfirmedQuarantineMs = 30_000;
-/** Further ends that such trials may cost; after these only an operator lets the kind run. */
+/** Crashes after quarantine at which probing stops; from then on only an operator can release the fingerprint. */
 const kMaxProbeFailures = 3;
 
-/** The end of one incarnation of a target. */
+/** A crash of one incarnation of a target. */
 export interface Crash {
-  /** Names the incarnation, the same in every report of its end. */
+  /** Identifies the incarnation; the same in every report of its crash. */
   id: number;
-  /** In milliseconds of the wall clock. */
+  /** Time of the crash in milliseconds of the wall clock. */
   at: number;
 }
 
-/** A request that ran on a target when that ended. */
+/** A request that was in flight when its target crashed. */
 export interface InFlightRequest {
   identity: RequestIdentity;
   route: string;
-  /** Whether it was the only suspect on trial there. */
+  /** Whether it was the probe running on that target. */
   tested: boolean;
 }
 
 interface Entry {
   suspicion: Suspicion;
-  /** When it last changed here, on the monotonic clock. */
+  /** Time of the last change in this table, in milliseconds of the monotonic clock. */
   changedAt: number;
 }
 
-/** The suspects that one daemon knows. */
+/** The suspicions known to one daemon, by fingerprint. */
 export class SuspectTable {
   private readonly _entries = new Map<string, Entry>();
-  /** Kinds by their screen: of one screen there may be several, which differ in their bodies. */
+  /** Number of entries per screen. Fingerprints that differ only in the content of the body share a screen. */
   private readonly _countByScreen = new Map<number, number>();
 
-  /** Kinds that are known, cleared ones too. */
+  /** Number of known fingerprints, including cleared ones. */
   get size(): number {
     return this._entries.size;
   }
 
-  /** What is known of a request's kind; undefined when nothing is. Costs nothing while no target has ended. */
+  /** The suspicion against a request; undefined when there is none. Computes no hash while the table is empty. */
   find(identity: RequestIdentity): Suspicion | undefined {
     if (this._entries.size === 0 || !this._countByScreen.has(screenOf(identity))) {
       return undefined;
@@ -67,7 +67,7 @@
     return this._entries.get(fingerprintOf(identity))?.suspicion;
   }
 
-  /** What follows for the next request of a kind as of now. */
+  /** The current verdict on a fingerprint: a quarantine that has expired becomes a probe. */
   verdict(fingerprint: string): Verdict {
     const entry = this._entries.get(fingerprint);
     if (!entry) {
@@ -77,12 +77,12 @@
     return verdict === 'quarantined' && this._quarantineExpired(entry) ? 'trial' : verdict;
   }
 
-  /** Time since something was last learned of a kind, in milliseconds. */
+  /** Time since the suspicion last changed, in milliseconds; infinite for an unknown fingerprint. */
   msSinceUpdate(fingerprint: string): number {
     return monotonicMs() - (this._entries.get(fingerprint)?.changedAt ?? -Infinity);
   }
 
-  /** All kinds that something is held against, the gravest first. */
+  /** All suspicions with crashes that count, most crashes first. */
   list(): Suspicion[] {
     return [...this._entries.values()]
       .map(({ suspicion }) => suspicion)
@@ -90,23 +90,23 @@
       .sort((a, b) => crashesOf(b) - crashesOf(a));
   }
 
-  /** Notes the end of a target; returns what others should know. */
+  /** Records a crash; returns the changed suspicions. */
   crashed(crash: Crash, inFlight: readonly InFlightRequest[]): Suspicion[] {
     return this.merge(inFlight.map((request) => suspicionFrom(crash, request)));
   }
 
-  /** Notes that a request of a known kind ran to its end; returns what others should know. */
+  /** Clears a fingerprint after a request with it completed, and releases it when quarantined; returns the changed suspicions. */
   completed(fingerprint: string): Suspicion[] {
     const wasQuarantined = this._entries.has(fingerprint) && this._isQuarantined(fingerprint);
     return this._updateMarks(fingerprint, (mark) => ({ ...mark, cleared: true, released: mark.released || wasQuarantined }));
   }
 
-  /** Lets a kind run again; returns what others should know, nothing when it isn't known. */
+  /** Releases a fingerprint; returns the changed suspicions, none when it is unknown or already released. */
   release(fingerprint: string): Suspicion[] {
     return this._updateMarks(fingerprint, (mark) => ({ ...mark, released: true }));
   }
 
-  /** Takes what others know; returns what was new in it. */
+  /** Merges suspicions; returns those that changed. */
   merge(received: readonly Suspicion[]): Suspicion[] {
     const changed: Suspicion[] = [];
     for (const suspicion of received) {
@@ -120,7 +120,7 @@
     return changed;
   }
 
-  /** Forgets what is old; called now and then. */
+  /** Removes expired entries; called periodically. */
   prune(): void {
     const expiredBefore = monotonicMs() - kExpiryMs;
     for (const [fingerprint, { changedAt }] of this._entries) {
@@ -153,7 +153,7 @@
     if (!this._entries.delete(fingerprint)) {
       this._countByScreen.set(screen, (this._countByScreen.get(screen) ?? 0) + 1);
     }
-    // Set anew, so that the order is that of the latest changes.
+    // The entry was deleted above, so this moves it to the end: the map is ordered by last change.
     this._entries.set(fingerprint, { suspicion, changedAt: monotonicMs() });
     return suspicion;
   }
@@ -172,7 +172,7 @@
     }
   }
 
-  /** Keeps the table small: what least is held against goes first, and of that the oldest. */
+  /** Evicts entries above the capacity: those with the fewest crashes first, then the least recently changed. */
   private _evictSurplus(): void {
     const surplus = this._entries.size - kMaxFingerprints;
     if (surplus <= 0) {
--- a/packages/core/src/quarantine/suspects.ts
+++ b/packages/core/src/quarantine/suspects.ts
@@ -3,68 +3,68 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The suspects as one daemon knows them, and how daemons tell each other: each change goes to all that are linked, and is passed on once. */
+/** The suspicions known to one daemon, and their propagation: local changes go to all linked daemons, which forward them once. */
 
 import type { RequestIdentity } from './requestFingerprint.js';
 import { type Crash, type InFlightRequest, SuspectTable } from './suspectTable.js';
 import { type Suspicion, type Verdict, verdictOf } from './suspicion.js';
 
-/** Daemons that one which hears of a change passes it on to: those that the first one doesn't reach hear of it from others. */
+/** Number of daemons that a received change is forwarded to, so that it reaches daemons without a link to its origin. */
 const kForwardCount = 4;
-/** Kinds that a new link is told of at most, the gravest ones. */
+/** Maximum number of suspicions sent over a new link. */
 const kMaxSnapshot = 100;
 
-/** Kinds that the record of one host keeps at most, the gravest ones. */
+/** Maximum number of suspicions stored in the record of one host. */
 const kMaxPersisted = 8;
 
-/** What an operator should be able to see. */
+/** Changes that are reported to the operator. */
 export type SuspectEvent =
-  /** From now on the kind does not run. */
+  /** Requests with the fingerprint no longer run. */
   | { kind: 'quarantined'; suspicion: Suspicion }
-  /** A request of the kind ran to its end here. */
+  /** A request with the fingerprint completed on this host. */
   | { kind: 'cleared'; fingerprint: string; before: Verdict }
   | { kind: 'released'; fingerprint: string };
 
-/** What the suspects use of their daemon. */
+/** Daemon functions that {@link Suspects} depends on. */
 export interface SuspectsDeps {
-  /** Tells all linked daemons. */
+  /** Sends to all linked daemons. */
   broadcast(suspects: Suspicion[]): void;
-  /** Tells some of them. */
+  /** Sends to at most `count` linked daemons. */
   sendSome(count: number, suspects: Suspicion[]): void;
   onEvent(event: SuspectEvent): void;
 }
 
-/** A kind that something is held against, with what follows from it. */
+/** A suspicion with its current verdict. */
 export interface ListedSuspect extends Suspicion {
   verdict: Verdict;
 }
 
-/** What is held against a request's kind, and what follows from it. */
+/** The suspicion against a request and its current verdict. */
 export interface Assessment {
   suspicion: Suspicion;
   verdict: Verdict;
 }
 
-/** The suspects of one daemon. */
+/** The suspicions known to one daemon. */
 export class Suspects {
   private readonly _table = new SuspectTable();
-  /** Ends of this host's own targets. */
+  /** Crash ids of targets on this host. */
   private readonly _localCrashes = new Set<number>();
 
   constructor(private readonly _deps: SuspectsDeps) {}
 
-  /** How many kinds are suspected, and how many of them don't run. */
+  /** Number of fingerprints under suspicion, and how many of these are quarantined. */
   get counts(): { suspected: number; held: number } {
     const listed = this.list();
     return { suspected: listed.length, held: listed.filter(({ verdict }) => verdict === 'quarantined').length };
   }
 
-  /** What a daemon that was just linked should know. */
+  /** The suspicions to send over a new link, most severe first. */
   get snapshot(): Suspicion[] {
     return this._table.list().slice(0, kMaxSnapshot);
   }
 
-  /** Kinds that are held back since a target of this host ended by them: what its record keeps for a start of all daemons. */
+  /** Quarantines that involve a crash on this host; stored in the host's record so that they survive a restart of all daemons. */
   get persisted(): Suspicion[] {
     return this._table
       .list()
@@ -72,33 +72,33 @@
       .slice(0, kMaxPersisted);
   }
 
-  /** Kinds that something is held against, the gravest first. */
+  /** All suspicions with crashes that count, most severe first. */
   list(): ListedSuspect[] {
     return this._table.list().map((suspicion) => ({ ...suspicion, verdict: this._table.verdict(suspicion.fingerprint) }));
   }
 
-  /** What is known of a request's kind; undefined when nothing is. Its identity is not even asked for while no target has ended. */
+  /** Looks up the suspicion against a request; undefined when there is none. Does not call `identity` while the table is empty. */
   assess(identity: () => RequestIdentity): Assessment | undefined {
     const suspicion = this._table.size > 0 ? this._table.find(identity()) : undefined;
     return suspicion && { suspicion, verdict: this._table.verdict(suspicion.fingerprint) };
   }
 
-  /** What follows for the next request of a kind. */
+  /** The current verdict on a fingerprint. */
   verdict(fingerprint: string): Verdict {
     return this._table.verdict(fingerprint);
   }
 
-  /** Time since something was last learned of a kind, in milliseconds. */
+  /** Time since the suspicion last changed, in milliseconds; infinite for an unknown fingerprint. */
   msSinceUpdate(fingerprint: string): number {
     return this._table.msSinceUpdate(fingerprint);
   }
 
-  /** Forgets what is old; called now and then. */
+  /** Removes expired entries; called periodically. */
   prune(): void {
     this._table.prune();
   }
 
-  /** Takes what an earlier daemon of this host wrote into its record. */
+  /** Restores the suspicions that an earlier daemon of this host stored in its record. */
   restore(persisted: readonly Suspicion[]): void {
     for (const { crash } of persisted.flatMap(({ marks }) => marks)) {
       this._localCrashes.add(crash);
@@ -106,13 +106,13 @@
     this.mergeFromPeer(persisted);
   }
 
-  /** The target of this host ended while these ran. */
+  /** Records a crash of the target on this host with the requests that were in flight. */
   crashed(crash: Crash, inFlight: readonly InFlightRequest[]): void {
     this._localCrashes.add(crash.id);
     this._broadcast(this._table.crashed(crash, inFlight));
   }
 
-  /** A request of a known kind ran to its end here. */
+  /** Clears a known fingerprint after a request with it completed on this host. */
   completed(fingerprint: string): void {
     const before = this._table.verdict(fingerprint);
     const changed = this._table.completed(fingerprint);
@@ -122,7 +122,7 @@
     this._broadcast(changed);
   }
 
-  /** Lets a kind run again; false when nothing is held against it. */
+  /** Releases a fingerprint; false when it is unknown or already released. */
   release(fingerprint: string): boolean {
     const changed = this._table.release(fingerprint);
     if (changed.length > 0) {
@@ -132,12 +132,12 @@
     return changed.length > 0;
   }
 
-  /** Takes what a call brought with it. */
+  /** Merges a suspicion that arrived with a call, without forwarding it. */
   mergeFromCall(suspicion: Suspicion): void {
     this._reportQuarantined(this._table.merge([suspicion]));
   }
 
-  /** Takes what another daemon tells, and passes on what is new. */
+  /** Merges suspicions from another daemon and forwards those that changed. */
   mergeFromPeer(received: readonly Suspicion[]): void {
     const changed = this._table.merge(received);
     this._reportQuarantined(changed);
@@ -146,7 +146,7 @@
     }
   }
 
-  /** Tells what is known of a kind to daemons that don't seem to know. */
+  /** Sends a suspicion to all linked daemons again, as an ingress appears to lack it. */
   rebroadcast(suspicion: Suspicion): void {
     this._deps.broadcast([suspicion]);
   }
--- a/packages/core/src/quarantine/suspicion.ts
+++ b/packages/core/src/quarantine/suspicion.ts
@@ -4,67 +4,65 @@
  */
 
 /**
- * What is held against one kind of request: the ends of targets during which it ran, and what speaks for it since. Daemons learn of
- * these in any order, late and repeatedly, so a suspicion only grows: merging is a union, and each end counts once, by the
- * incarnation that ended.
+ * The crashes during which requests with one fingerprint were in flight, with the evidence that clears them. Daemons receive updates in any
+ * order and repeatedly, so merging is a union: flags are only ever set, and each crashed incarnation counts once.
  */
 
-/** One end of a target during which the kind ran there. */
+/** A target crash during which a request with the fingerprint was in flight there. */
 export interface CrashMark {
-  /** Names the incarnation that ended. */
+  /** Identifies the incarnation that crashed. */
   crash: number;
-  /** When, in milliseconds of the wall clock of the host where it ended. */
+  /** Time of the crash, in milliseconds of the wall clock of the host where it happened. */
   at: number;
-  /** No other suspect ran beside it, and the daemon knew of two ends before. */
+  /** The request was running as a probe, so it most likely caused the crash. */
   tested: boolean;
-  /** The kind ran to its end somewhere later. */
+  /** A request with the fingerprint completed on some host later. */
   cleared: boolean;
-  /** The kind may run again: an operator said so, or it ran to its end after it had been held back. */
+  /** Released from quarantine: by an operator, or because a request completed while the fingerprint was quarantined. */
   released: boolean;
 }
 
-/** All that is held against one kind. */
+/** Everything known against one fingerprint. */
 export interface Suspicion {
-  /** Name of the kind. */
   fingerprint: string;
-  /** Hash by which its requests are found without a look at their bodies. */
+  /** Hash of the request without its body's content, for a cheap first look-up. */
   screen: number;
-  /** Route of the request that was seen first, for people. */
+  /** Route of the first request seen; informational. */
   route: string;
   marks: readonly CrashMark[];
 }
 
-/** What follows for the next request of a kind. */
+/** How the next request with a fingerprint is treated. */
 export type Verdict =
-  /** Nothing. */
+  /** It runs without restrictions. */
   | 'clear'
-  /** It runs while no other of its kind does. */
+  /** It runs while no other request with the fingerprint runs on the target. */
   | 'suspect'
-  /** The same, and no other suspect on trial runs beside it. */
+  /** It runs as a probe: in addition, no other probe runs on the target. */
   | 'trial'
   /** It does not run. */
   | 'quarantined';
 
-/** Ends that one kind may cause before it is held back. */
+/** Number of crashes at which a fingerprint is quarantined. */
 export const kMaxCrashes = 3;
-/** Ends from which on a kind is tried apart from other suspects, so that the next end names the one that caused it. */
+/** Number of crashes at which a fingerprint is probed apart from others, so that a further crash identifies its cause. */
 const kProbeCrashes = 2;
-/** Tested ends that outweigh all that speaks for a kind: one may be chance. */
+/** Number of crashes during probes at which a fingerprint is quarantined; a single one may be a coincidence. */
 const kMaxProbedCrashes = 2;
-/** Ends that one suspicion tells of, the latest ones: more say nothing more. All daemons keep the same ones, whatever they heard first. */
+/** Maximum number of marks per suspicion. The latest crashes are kept, so all daemons keep the same marks regardless of arrival order. */
 const kMaxMarks = 8;
 
-/** The ends that still count against a kind. */
+/** Number of crashes that still count against the fingerprint. */
 export function crashesOf({ marks }: Pick<Suspicion, 'marks'>): number {
   return marks.filter(countsAsCrash).length;
 }
 
-/** Whether an end was seen while the kind was on trial: no other can have caused it but by chance. */
+/** Whether a target crashed while it ran a probe, and the mark has not been released. */
 export function isConfirmed({ marks }: Pick<Suspicion, 'marks'>): boolean {
   return marks.some((mark) => mark.tested && !mark.released);
 }
 
-/** What follows from a suspicion alone, however long ago. */
+/** The verdict that follows from the marks alone, regardless of their age. */
 export function verdictOf(suspicion: Pick<Suspicion, 'marks'>): Verdict {
   const { marks } = suspicion;
   const crashes = crashesOf(suspicion);
@@ -75,11 +73,11 @@
   if (crashes >= kProbeCrashes) {
     return 'trial';
   }
-  // A kind that has run to its end before is most likely one that many share, and that is under way whenever a target ends.
+  // A fingerprint that has completed before is most likely a common request that is often in flight when a target crashes.
   return crashes === 0 || marks.some(({ cleared }) => cleared) ? 'clear' : 'suspect';
 }
 
-/** Joins what two daemons know; `undefined` when the second adds nothing. */
+/** Returns the union of two sets of marks; undefined when `received` adds nothing. */
 export function mergeMarks(known: readonly CrashMark[], received: readonly CrashMark[]): CrashMark[] | undefined {
   const knownById = new Map(known.map((mark) => [mark.crash, mark]));
   const mergedById = new Map(knownById);
--- a/tests/quarantine/histories.spec.ts
+++ b/tests/quarantine/histories.spec.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Seeded histories of a fleet with requests that end their targets, among innocent ones and a lookup that many share. The same load is
- * also played with nothing held back, to show that the histories have such requests in them.
+ * Seeded histories of a fleet that serves requests which crash their targets among harmless ones. Guards against more crashes per
+ * fingerprint than allowed, and against the quarantine of harmless requests.
  */
 
 import { type Random, seededRandom } from '@gentiandrum/core';
@@ -21,17 +21,17 @@
 const kDetectionMs = 12;
 
 interface History {
-  /** Mean time between two requests of each lethal kind, in milliseconds, one for each kind. */
+  /** Mean time between two requests of each lethal type, in milliseconds. */
   lethalEveryMs?: number[];
   idempotent?: boolean;
-  /** Mean time between ends of targets by themselves. */
+  /** Mean time between spontaneous crashes of targets, in milliseconds. */
   crashesEveryMs?: number;
   restartsEveryMs?: number;
   partition?: { from: number; until: number };
 }
 
 interface Result {
-  /** Ends by each lethal kind, and how many of its requests had begun before the first of them was known. */
+  /** Crashes by each lethal type, and how many of its requests started before the first crash was detected. */
   lethal: { crashes: number; early: number }[];
   quarantined: number;
   innocent: number;
@@ -43,7 +43,7 @@
   return { identity: { method: 'GET', host: 'app.example', path, body: new Uint8Array() }, lethal, idempotent, runMs };
 }
 
-/** Calls `run` at random times of a given mean pause. */
+/** Calls `run` at random times with an exponential distribution of the given mean interval. */
 function scheduleRepeated(fleet: QuarantineFleet, random: Random, everyMs: number, run: () => void): void {
   const next = (): void => {
     fleet.time.after(-Math.log(1 - random()) * everyMs, () => {
@@ -118,13 +118,13 @@
   return Array.from({ length: count }, (_, i) => i + 1);
 }
 
-/** Requests that have begun before the first end is known can't be called back; the one tried after that ends one more. */
+/** Requests that started before the first crash was detected cannot be stopped; the probe after them causes one more crash. */
 function allowedCrashes(early: number): number {
   return Math.max(kMaxCrashes, early + 1);
 }
 
-describe('requests that end their targets, in seeded histories', () => {
-  itAlone('should end three targets at most, however fast they come, and cost innocent ones next to nothing', (t) => {
+describe('requests that crash their targets, in seeded histories', () => {
+  itAlone('should crash at most three targets at any request rate, with hardly any effect on harmless requests', (t) => {
     let histories = 0;
     for (const everyMs of [30, 300, 1_600]) {
       for (const seed of seeds(60)) {
@@ -141,7 +141,7 @@
     t.is(histories, 180);
   });
 
-  itAlone('should end three targets a kind at most when several kinds come, repeatable or not', (t) => {
+  itAlone('should crash at most three targets per fingerprint with several lethal types, idempotent or not', (t) => {
     for (const idempotent of [true, false]) {
       for (const seed of seeds(60)) {
         const { lethal } = runHistory(seed, { lethalEveryMs: [450, 450], idempotent });
@@ -154,7 +154,7 @@
     }
   });
 
-  itAlone('should end three targets at most on each side of a cut, and none after it for what one side knew', (t) => {
+  itAlone('should crash at most three targets on each side of a network partition, and none afterwards for what one side knew', (t) => {
     for (const seed of seeds(80)) {
       const { lethal } = runHistory(seed, { lethalEveryMs: [300], partition: { from: 20 + seed * 40, until: 6_000 + seed * 20 } });
       const details = `seed ${seed}: ${JSON.stringify(lethal)}`;
@@ -166,8 +166,8 @@
   });
 });
 
-describe('targets that end by themselves, in seeded histories', () => {
-  itAlone('should get no request held back', (t) => {
+describe('targets that crash spontaneously, in seeded histories', () => {
+  itAlone('should not cause any quarantine', (t) => {
     let crashes = 0;
     let innocent = 0;
     let notServed = 0;
@@ -182,7 +182,7 @@
     t.true(notServed <= innocent * kMaxNotServed, JSON.stringify({ innocent, notServed }));
   });
 
-  itAlone('should get no request held back beside one that is rightly held', (t) => {
+  itAlone('should not cause a quarantine besides that of a lethal request', (t) => {
     for (const seed of seeds(60)) {
       const { quarantined } = runHistory(seed, { crashesEveryMs: 1_500, lethalEveryMs: [400] });
       t.true(quarantined <= 1, `seed ${seed}: ${quarantined} fingerprints quarantined`);
--- a/tests/quarantine/quarantineFleet.ts
+++ b/tests/quarantine/quarantineFleet.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** A fleet on virtual time: the product's decisions on suspects, with targets that end, and messages that are late, lost, repeated or cut. */
+/** A fleet on virtual time: the real suspect logic with simulated target crashes, and messages that are delayed, duplicated or lost. */
 
 import {
   type CallEnd,
@@ -27,18 +27,18 @@
 const kLethalMs = 30;
 const kRestartMs = 1_500;
 const kRestartSpreadMs = 1_500;
-/** Time after which a gate knows that its target ended, in milliseconds. */
+/** Time after which a gate detects that its target crashed, in milliseconds. */
 const kDetectionMs = 6;
 const kLinkTimeoutMs = 300;
 const kDeadlineMs = 2_000;
 const kMaxAttempts = 3;
-/** Packets get lost: what follows on the link waits until they were sent again. */
+/** Probability that a message stalls like a lost packet that is retransmitted; later messages on the link wait for it. */
 const kStallProbability = 0.05;
 const kStallMs = 300;
 const kDuplicateProbability = 0.05;
 const kMaxDelayMs = 4;
 
-/** One kind of request. */
+/** A type of request: its requests share one fingerprint. */
 export interface RequestType {
   identity: RequestIdentity;
   lethal: boolean;
@@ -46,7 +46,7 @@
   runMs: number;
 }
 
-/** What became of one request. */
+/** The result of one request. */
 export interface Outcome {
   type: RequestType;
   end: RouteEnd | 'unfinished';
@@ -57,13 +57,13 @@
   reply: (end: CallEnd) => void;
 }
 
-/** One host: its daemon, and the target beside it. */
+/** A host with its daemon and its target. */
 class ModelHost {
   suspects: Suspects;
   gate: SuspectGate<ModelCall>;
-  /** Hosts that it takes for ready. */
+  /** Hosts whose targets the daemon considers ready. */
   readonly ready = new Set<string>();
-  /** Life of the daemon: replies meant for an earlier one are lost. */
+  /** Incremented on each daemon restart; replies to an earlier generation are lost. */
   generation = 0;
   targetUp = true;
   incarnation = 1;
@@ -78,7 +78,7 @@
     this.gate = this._newGate();
   }
 
-  /** The daemon starts again, and knows nothing. */
+  /** Restarts the daemon without any state. */
   restart(): void {
     this.generation++;
     this.suspects = this._newSuspects();
@@ -116,19 +116,18 @@
   }
 }
 
-/** The fleet. */
 export class QuarantineFleet {
   readonly time = new VirtualTime();
   readonly outcomes: Outcome[] = [];
-  /** Names of the kinds that any daemon held back. */
+  /** Fingerprints that any daemon has quarantined. */
   readonly quarantined = new Set<string>();
-  /** Ends of targets by the kind that caused them; undefined for those by themselves. */
+  /** Crashes with the request type that caused each; undefined for spontaneous ones. */
   readonly crashes: { at: number; type: RequestType | undefined }[] = [];
-  /** Times at which lethal requests began to run. */
+  /** Start times of lethal requests. */
   readonly lethalStarts: { at: number; type: RequestType }[] = [];
   readonly hosts: ModelHost[];
   private readonly _arrivals = new Map<string, number>();
-  /** While set, the zones don't reach each other. */
+  /** While set, messages between the zones are lost. */
   partitioned = false;
 
   constructor(
@@ -141,17 +140,16 @@
     }
   }
 
-  /** A random host. */
   anyHost(): ModelHost {
     return this._hostAt(Math.floor(this._random() * this.hosts.length));
   }
 
-  /** Targets that a daemon takes for ready. */
+  /** Targets that the daemon of a host considers ready. */
   readyAt(host: ModelHost): TargetRecord[] {
     return this.hosts.filter(({ name }) => host.ready.has(name)).map(recordOf);
   }
 
-  /** A caller's request at a host. */
+  /** Sends an external request to a host. */
   request(host: ModelHost, type: RequestType): void {
     const outcome: Outcome = { type, end: 'unfinished' };
     this.outcomes.push(outcome);
@@ -194,7 +192,7 @@
     advance(procedure.next());
   }
 
-  /** Runs a call at the target of a host. */
+  /** Runs a call on the target of a host. */
   run(host: ModelHost, call: ModelCall): void {
     if (!host.targetUp) {
       this._finish(host, call, { kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 });
@@ -219,7 +217,7 @@
     });
   }
 
-  /** The target of a host ends, and is back after a while. */
+  /** Crashes the target of a host, and restarts it after a random delay. */
   crash(host: ModelHost, type: RequestType | undefined): void {
     if (!host.targetUp) {
       return;
@@ -252,21 +250,21 @@
     });
   }
 
-  /** Tells every other daemon. */
+  /** Sends suspicions to all other daemons. */
   broadcast(from: ModelHost, suspects: Suspicion[]): void {
     for (const to of this.hosts) {
       this._sendSuspects(from, to, suspects);
     }
   }
 
-  /** Tells some other daemons. */
+  /** Sends suspicions to `count` random daemons. */
   sendToSome(from: ModelHost, count: number, suspects: Suspicion[]): void {
     for (let i = 0; i < count; i++) {
       this._sendSuspects(from, this.anyHost(), suspects);
     }
   }
 
-  /** A daemon is linked with all others anew, and each tells the other what it knows. */
+  /** Links a daemon with all others again; both ends of each link exchange their snapshots. */
   relink(host: ModelHost): void {
     for (const other of this.hosts) {
       this._sendSuspects(other, host, other.suspects.snapshot);
@@ -274,7 +272,7 @@
     }
   }
 
-  /** Gives the runtime its own clock back. */
+  /** Restores the real clock. */
   close(): void {
     this.time.restore();
   }
@@ -319,7 +317,7 @@
         this._takeOffer(to, call);
       }
     });
-    // The link is lost with the daemon at its other end, or by a cut.
+    // The link fails when the receiving daemon restarts or the network is partitioned.
     this.time.after(kLinkTimeoutMs, () => {
       if (to.generation !== generation || this._isPartitioned(from, to)) {
         settle({ kind: 'lost', reason: 'link lost' });
@@ -377,7 +375,7 @@
     if (this._isPartitioned(from, to)) {
       return;
     }
-    // What travels on one link arrives in its order.
+    // Messages on one link arrive in order.
     const link = `${from.name} ${to.name}`;
     const stallMs = this._random() < kStallProbability ? this._random() * kStallMs : 0;
     const delay = from === to ? 0 : Math.ceil(1 + stallMs + this._random() * (kMaxDelayMs - 1));
--- a/tests/quarantine/suspectTable.spec.ts
+++ b/tests/quarantine/suspectTable.spec.ts
@@ -11,7 +11,7 @@
 const kHourMs = 60 * 60_000;
 const kIdentity: RequestIdentity = { method: 'GET', host: 'app.example', path: '/a?b=1', body: new Uint8Array() };
 
-/** Ends of targets during which a kind ran, one after the other on trial. */
+/** Records a crash during which the request was in flight, as a probe when the verdict says so. */
 function crash(table: SuspectTable, id: number, identity = kIdentity): void {
   table.crashed({ id, at: id }, [{ identity, route: 'r', tested: table.verdict(fingerprintOf(identity)) === 'trial' }]);
 }
@@ -22,7 +22,7 @@
   cleared: fc.boolean(),
   released: fc.boolean(),
 });
-/** An end happened once, so its time goes with its name. */
+/** Derives the time from the crash id, as all reports of one crash carry the same time. */
 const someMarks = fc
   .uniqueArray(aMark, { selector: ({ crash: id }) => id, maxLength: 12 })
   .map((marks): CrashMark[] => marks.map((mark) => ({ ...mark, at: mark.crash * 10 })));
@@ -31,8 +31,8 @@
   return mergeMarks(a, b) ?? a;
 }
 
-describe('a kind of request', () => {
-  it('should be told from others by method, host, path with query and body, joined so that none looks like another', (t) => {
+describe('a request fingerprint', () => {
+  it('should depend on method, host, path with query and body, without collisions between shifted parts', (t) => {
     const others: RequestIdentity[] = [
       { ...kIdentity, method: 'POST' },
       { ...kIdentity, host: 'other.example' },
@@ -49,8 +49,8 @@
   });
 });
 
-describe('what is held against a kind', () => {
-  it('should come to the same in whatever order, and however often, it is heard', (t) => {
+describe('the suspicions of a table', () => {
+  it('should merge to the same result regardless of order and repetition', (t) => {
     fc.assert(
       fc.property(someMarks, someMarks, someMarks, (a, b, c) => {
         const start = merge([], a);
@@ -63,7 +63,7 @@
     t.pass();
   });
 
-  it('should be nothing once a request of it ran to its end, but for what a trial proved', (t) => {
+  it('should be cleared when a request completes, except for crashes during a probe', (t) => {
     const table = new SuspectTable();
     const fingerprint = fingerprintOf(kIdentity);
     crash(table, 1);
@@ -79,7 +79,7 @@
     t.is(table.verdict(fingerprintOf({ ...kIdentity, path: '/other' })), 'clear');
   });
 
-  itAlone('should keep it from running for an hour, then twice and four times as long, then until it is released', (t) => {
+  itAlone('should quarantine for one hour, then two, then four, then until a release', (t) => {
     const time = new VirtualTime();
     try {
       const table = new SuspectTable();
@@ -105,7 +105,7 @@
     }
   });
 
-  itAlone('should keep copies that ended three targets together from running for half a minute only', (t) => {
+  itAlone('should quarantine for only 30 seconds without a crash during a probe', (t) => {
     const time = new VirtualTime();
     try {
       const table = new SuspectTable();
@@ -122,7 +122,7 @@
     }
   });
 
-  it('should be kept of a thousand kinds, the gravest ones', (t) => {
+  it('should be limited to 1,000 fingerprints, keeping the most severe', (t) => {
     const table = new SuspectTable();
     [1, 2, 3].forEach((id) => {
       crash(table, id);
