--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -6,7 +6,7 @@
 /** gentiandrum itself: the core's real objects and procedures, with their effects performed in virtual time. */
 
 import {
-  AnswerStore,
+  ResponseStore,
   type Call,
   type CallEvent,
   type Candidate,
@@ -369,7 +369,7 @@
         ratios.set(service, ratio);
         return ratio;
       },
-      answers: new AnswerStore(1),
+      answers: new ResponseStore(1),
       settler: new KeySettler(),
       claimShard: () => ({ shard: 0, index: new ClaimIndex(1) }),
       newId: () => String(this._ids++),
--- a/packages/core/src/claims/claimIndex.ts
+++ b/packages/core/src/claims/claimIndex.ts
@@ -13,7 +13,7 @@
 
 /** Index over one claims stream. */
 export class ClaimIndex {
-  private _next = 0;
+  private _nextOffset = 0;
   private readonly _holders = new Map<string, ClaimRecord>();
 
   /** @param _capacity claims remembered; the oldest are forgotten first, as the log itself does */
@@ -21,7 +21,7 @@
 
   /** Offset of the next record to fold. */
   get next(): number {
-    return this._next;
+    return this._nextOffset;
   }
 
   /** Claims remembered. */
@@ -31,10 +31,10 @@
 
   /** Folds one entry of the stream; entries that were folded already change nothing. */
   apply(offset: number, value: unknown): void {
-    if (offset < this._next) {
+    if (offset < this._nextOffset) {
       return;
     }
-    this._next = offset + 1;
+    this._nextOffset = offset + 1;
     const parsed = claimBatchSchema.safeParse(value);
     if (!parsed.success) {
       return;
@@ -46,7 +46,7 @@
 
   /** Skips to the oldest retained record after the log dropped what lay before it. */
   skipTo(offset: number): void {
-    this._next = Math.max(this._next, offset);
+    this._nextOffset = Math.max(this._nextOffset, offset);
   }
 
   /** The claim that counts for a key. */
--- a/packages/core/src/claims/keySettler.ts
+++ b/packages/core/src/claims/keySettler.ts
@@ -29,13 +29,13 @@
 }
 
 /** Keys remembered per namespace. Older numbers count as used. */
-const kKeysPerNamespace = 10_000;
+const kMaxKeysPerNamespace = 10_000;
 const kMaxNamespaces = 10_000;
 
 interface Namespace {
   grants: Map<number, Grant>;
   /** Numbers below it are forgotten and count as used. */
-  floor: number;
+  minSequence: number;
 }
 
 /** Settles keys at one daemon. */
@@ -45,7 +45,7 @@
 
   /** Opens a namespace for a caller. */
   openNamespace(name: string): void {
-    this._namespaces.set(name, { grants: new Map(), floor: 0 });
+    this._namespaces.set(name, { grants: new Map(), minSequence: 0 });
     const oldest = this._namespaces.keys().next();
     if (this._namespaces.size > kMaxNamespaces && !oldest.done) {
       this._namespaces.delete(oldest.value);
@@ -57,14 +57,14 @@
     const slash = bid.key.lastIndexOf('/');
     const namespace = bid.key.slice(0, slash);
     const sequence = Number(bid.key.slice(slash + 1));
-    const known = this._namespaces.get(namespace);
-    if (!known || sequence < known.floor) {
+    const state = this._namespaces.get(namespace);
+    if (!state || sequence < state.minSequence) {
       return { kind: 'unknown' };
     }
-    const verdict = settle(known.grants.get(sequence), bid);
+    const verdict = settle(state.grants.get(sequence), bid);
     if (verdict.kind === 'granted') {
-      known.grants.set(sequence, bid);
-      this._raiseFloor(known);
+      state.grants.set(sequence, bid);
+      this._evictLowest(state);
     }
     return verdict;
   }
@@ -94,13 +94,13 @@
     return verdict;
   }
 
-  private _raiseFloor(namespace: Namespace): void {
-    if (namespace.grants.size <= kKeysPerNamespace) {
+  private _evictLowest(namespace: Namespace): void {
+    if (namespace.grants.size <= kMaxKeysPerNamespace) {
       return;
     }
     const lowest = Math.min(...namespace.grants.keys());
     namespace.grants.delete(lowest);
-    namespace.floor = lowest + 1;
+    namespace.minSequence = lowest + 1;
   }
 }
 
--- a/packages/core/src/claims/lookUpAnswer.ts
+++ b/packages/core/src/claims/lookUpResponse.ts
@@ -6,10 +6,10 @@
 /** What the claimant of a key tells another daemon that asks for the answer. */
 
 import type { FetchEnd } from '../procedures/effects.js';
-import type { AnswerStore } from './answerStore.js';
+import type { ResponseStore } from './responseStore.js';
 
 /** A question for the answer of a key. */
-export interface AnswerQuestion {
+export interface ResponseQuery {
   key: string;
   body: string;
   /** Who holds the key, as the asking daemon was told: `daemon/incarnation`, or that with a nonce. */
@@ -17,12 +17,12 @@
 }
 
 /** Looks a key up at the daemon `self`, given as `daemon/incarnation`. */
-export function lookUpAnswer(answers: AnswerStore, question: AnswerQuestion, self: string): FetchEnd {
-  const { key, body, claimant } = question;
+export function lookUpResponse(responses: ResponseStore, query: ResponseQuery, self: string): FetchEnd {
+  const { key, body, claimant } = query;
   if (claimant !== self && !claimant.startsWith(`${self}/`)) {
     return { kind: 'unknown' };
   }
-  const state = answers.get(key);
+  const state = responses.get(key);
   if (state && state.body !== body) {
     return { kind: 'mismatch' };
   }
--- a/packages/core/src/claims/answerStore.ts
+++ b/packages/core/src/claims/responseStore.ts
@@ -30,7 +30,7 @@
 type Waiter = (served: Served | undefined) => void;
 
 /** Store of recorded answers. */
-export class AnswerStore {
+export class ResponseStore {
   private readonly _states = new Map<string, KeyState>();
   private readonly _waiters = new Map<string, Set<Waiter>>();
   private readonly _answered = new Set<string>();
@@ -60,14 +60,14 @@
   /** Forgets the key: its call was not run, and another attempt may be made. */
   drop(key: string, served?: Served): void {
     this._states.delete(key);
-    this._wake(key, served);
+    this._notifyWaiters(key, served);
   }
 
   /** Notes that the call was given up before it ran, although its claim holds or may still land in the log. */
   abandon(key: string, claim: { body: string; nonce: string }, served: Served): void {
     this._states.set(key, { kind: 'abandoned', ...claim });
     this._abandoned.add(key);
-    this._wake(key, served);
+    this._notifyWaiters(key, served);
     this._trim();
   }
 
@@ -88,7 +88,7 @@
     this._states.set(key, { kind: 'answered', body, served });
     this._answered.add(key);
     this._bytes += sizeOf(served);
-    this._wake(key, served);
+    this._notifyWaiters(key, served);
     this._trim();
   }
 
@@ -102,7 +102,7 @@
     };
   }
 
-  private _wake(key: string, served: Served | undefined): void {
+  private _notifyWaiters(key: string, served: Served | undefined): void {
     const waiters = this._waiters.get(key);
     this._waiters.delete(key);
     for (const waiter of waiters ?? []) {
@@ -115,16 +115,16 @@
       if (this._bytes <= this._capacity) {
         break;
       }
-      this._forget(key);
+      this._evictResponse(key);
     }
-    this._dropOldest(this._forgotten, kMaxForgotten);
-    this._dropOldest(this._abandoned, kMaxAbandoned);
+    this._evictOldest(this._forgotten, kMaxForgotten);
+    this._evictOldest(this._abandoned, kMaxAbandoned);
   }
 
   /** What is dropped here is still barred by its claim in the log, or by its settler: its repeat is told `outcome_unknown`. */
-  private _dropOldest(keys: Set<string>, most: number): void {
+  private _evictOldest(keys: Set<string>, limit: number): void {
     for (const key of keys) {
-      if (keys.size <= most) {
+      if (keys.size <= limit) {
         return;
       }
       keys.delete(key);
@@ -132,7 +132,7 @@
     }
   }
 
-  private _forget(key: string): void {
+  private _evictResponse(key: string): void {
     const state = this._states.get(key);
     this._answered.delete(key);
     if (state?.kind !== 'answered') {
--- a/packages/core/src/procedures/callContext.ts
+++ b/packages/core/src/procedures/callContext.ts
@@ -10,7 +10,7 @@
 import type { RootFilter } from '../admission/rootFilter.js';
 import type { RetryLedger } from '../chain/retryLedger.js';
 import type { RetryRatio } from '../chain/retryRatio.js';
-import type { AnswerStore } from '../claims/answerStore.js';
+import type { ResponseStore } from '../claims/responseStore.js';
 import type { ClaimIndex } from '../claims/claimIndex.js';
 import type { KeySettler } from '../claims/keySettler.js';
 import type { NamedClass } from '../routing/classifier.js';
@@ -86,7 +86,7 @@
   rootFilter: RootFilter;
   ledger: RetryLedger;
   retryRatio: (service: string) => RetryRatio;
-  answers: AnswerStore;
+  answers: ResponseStore;
   settler: KeySettler;
   /** Shard of a key; `relay` is the address of the daemon that batches for it, when that is another. */
   claimShard: (key: string) => { shard: number; index: ClaimIndex; relay?: string };
--- a/packages/core/src/procedures/releaseClaim.ts
+++ b/packages/core/src/procedures/releaseClaim.ts
@@ -5,7 +5,7 @@
 
 /** Gives a claim back to the log whose call was not run, so that another daemon may run it. */
 
-import type { AnswerStore } from '../claims/answerStore.js';
+import type { ResponseStore } from '../claims/responseStore.js';
 import { perform, type Procedure } from './effects.js';
 
 /** What is released, and by whom. */
@@ -17,7 +17,7 @@
 }
 
 /** Releases an abandoned claim. It stays barred here until its release is seen in the log. */
-export function* releaseClaim(release: Release, answers: AnswerStore): Procedure<boolean> {
+export function* releaseClaim(release: Release, answers: ResponseStore): Procedure<boolean> {
   const { key, shard, claimant, address } = release;
   const body = answers.get(key)?.body ?? '';
   const nonce = answers.beginRelease(key);
--- a/packages/daemon/src/app/callService.ts
+++ b/packages/daemon/src/app/callService.ts
@@ -6,7 +6,7 @@
 /** Serves calls that come in at this daemon, from callers and from the target on this host. */
 
 import {
-  AnswerStore,
+  ResponseStore,
   type Call,
   type CallKey,
   type Candidate,
@@ -85,7 +85,7 @@
 /** Call side of one daemon. */
 export class CallService {
   readonly settler = new KeySettler();
-  readonly answers: AnswerStore;
+  readonly answers: ResponseStore;
   private readonly _ids: Ids;
   private readonly _ratios = new Map<string, RetryRatio>();
   private readonly _ordinals = new Map<string, Map<string, number>>();
@@ -99,7 +99,7 @@
     private _cfg: Config,
   ) {
     this._ids = new Ids(_deps.daemon.id, _deps.daemon.incarnation);
-    this.answers = new AnswerStore(_deps.answerBytes);
+    this.answers = new ResponseStore(_deps.answerBytes);
     this._classifier = new Classifier(_cfg);
     this._ctx = this._makeContext();
   }
--- a/tests/claims/claims.spec.ts
+++ b/tests/claims/claims.spec.ts
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { AnswerStore, ClaimIndex, KeySettler, type Served } from '@gentiandrum/core';
+import { ResponseStore, ClaimIndex, KeySettler, type Served } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 function claim(key: string, nonce: string, released?: boolean): Record<string, unknown> {
   return { key, nonce, claimant: `${nonce}/1`, address: nonce, body: 'body', released };
 }
 
-function answer(bytes: number): Served {
+function served(bytes: number): Served {
   return { kind: 'answer', answer: { status: 200, headers: {}, body: new Uint8Array(bytes) } };
 }
 
@@ -53,10 +53,10 @@
 
 describe('an answer store', () => {
   it('should stay within its bytes, and remember that a forgotten call ran', (t) => {
-    const store = new AnswerStore(10_000);
+    const store = new ResponseStore(10_000);
     for (let i = 0; i < 20; i++) {
       store.begin(`k${i}`, 'body');
-      store.record(`k${i}`, answer(1_000));
+      store.record(`k${i}`, served(1_000));
     }
     t.true(store.bytes <= 10_000);
     t.is(store.get('k0')?.kind, 'forgotten');
@@ -64,15 +64,15 @@
   });
 
   it('should wake who waits, with the answer or with the word that there is none', (t) => {
-    const store = new AnswerStore(10_000);
-    const heard: (Served | undefined)[] = [];
+    const store = new ResponseStore(10_000);
+    const received: (Served | undefined)[] = [];
     store.begin('k', 'body');
-    store.wait('k', (served) => heard.push(served));
-    store.record('k', answer(1));
+    store.wait('k', (served) => received.push(served));
+    store.record('k', served(1));
     store.begin('l', 'body');
-    store.wait('l', (served) => heard.push(served));
+    store.wait('l', (served) => received.push(served));
     store.drop('l');
-    t.deepEqual(heard, [answer(1), undefined]);
+    t.deepEqual(received, [served(1), undefined]);
   });
 });
 
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -7,7 +7,7 @@
 
 import {
   type AdmitEnd,
-  AnswerStore,
+  ResponseStore,
   type Answer,
   type Candidate,
   ClaimIndex,
@@ -47,7 +47,7 @@
 /** A daemon of the matrix. */
 export class MatrixDaemon {
   readonly ledger = new RetryLedger();
-  readonly answers = new AnswerStore(kAnswerBytes);
+  readonly answers = new ResponseStore(kAnswerBytes);
   readonly settler = new KeySettler();
   readonly index = new ClaimIndex(kClaims);
   readonly fold = new ConfigFold();
--- a/tests/matrix/matrixPeers.ts
+++ b/tests/matrix/matrixPeers.ts
@@ -5,7 +5,7 @@
 
 /** What daemons of the matrix ask each other about keys. */
 
-import { type Effect, lookUpAnswer, releaseClaim, type Reply, type Served } from '@gentiandrum/core';
+import { type Effect, lookUpResponse, releaseClaim, type Reply, type Served } from '@gentiandrum/core';
 import type { Fault } from './faults.js';
 import { kClaimStream } from './matrixLog.js';
 import type { MatrixDaemon } from './matrixDaemon.js';
@@ -97,7 +97,7 @@
       });
       return;
     }
-    const found = lookUpAnswer(holder.answers, { key, body, claimant }, holder.name);
+    const found = lookUpResponse(holder.answers, { key, body, claimant }, holder.name);
     if (found.kind === 'not_run') {
       const release = { key, shard: 0, claimant: holder.name, address };
       this._world.run(holder, releaseClaim(release, holder.answers), () => undefined);
