--- a/packages/core/src/claims/claimIndex.ts
+++ b/packages/core/src/claims/claimIndex.ts
@@ -4,32 +4,32 @@
  */
 
 /**
- * Claims of one shard in the order of the log: the first claim of a key is the one that counts.
+ * Index of the claims of one shard in log order: the first claim of a key is its holder.
  *
- * No lease is held, so there is none to lapse: a claimant that was paused finds the same order when it wakes.
+ * There are no leases that could expire: a claimant that was paused finds the same order afterwards.
  */
 
 import { type ClaimRecord, claimBatchSchema } from '@gentiandrum/protocol';
 
-/** Index over one claims stream. */
+/** Index of one claims stream. */
 export class ClaimIndex {
   private _nextOffset = 0;
   private readonly _holders = new Map<string, ClaimRecord>();
 
-  /** @param _capacity claims remembered; the oldest are forgotten first, as the log itself does */
+  /** @param _capacity maximum number of claims; the oldest are evicted first, like in the log itself */
   constructor(private readonly _capacity: number) {}
 
-  /** Offset of the next record to fold. */
+  /** Offset of the next entry to apply. */
   get next(): number {
     return this._nextOffset;
   }
 
-  /** Claims remembered. */
+  /** Number of indexed claims. */
   get size(): number {
     return this._holders.size;
   }
 
-  /** Folds one entry of the stream; entries that were folded already change nothing. */
+  /** Applies one entry of the stream. Entries that were applied before and invalid ones change nothing. */
   apply(offset: number, value: unknown): void {
     if (offset < this._nextOffset) {
       return;
@@ -44,12 +44,12 @@
     }
   }
 
-  /** Skips to the oldest retained record after the log dropped what lay before it. */
+  /** Skips to the oldest retained entry after the log has dropped earlier ones. */
   skipTo(offset: number): void {
     this._nextOffset = Math.max(this._nextOffset, offset);
   }
 
-  /** The claim that counts for a key. */
+  /** The claim that holds a key; undefined when there is none. */
   holder(key: string): ClaimRecord | undefined {
     return this._holders.get(key);
   }
--- a/packages/core/src/claims/keySettler.ts
+++ b/packages/core/src/claims/keySettler.ts
@@ -4,12 +4,11 @@
  */
 
 /**
- * Keys that one daemon settles from its own memory: numbered keys of the namespaces it minted, and keys derived for
- * calls inside the chains that entered here. Neither needs the log. When the daemon's memory is gone, so is the right
- * to run under its keys.
+ * Settles the keys that one daemon decides on in memory, without the log: numbered keys of the namespaces it minted, and keys derived for
+ * calls in chains that entered on it. When the daemon restarts, calls with its earlier keys can no longer run.
  */
 
-/** Who may run the call of a key. */
+/** Whether a bidder may run the call of a key. */
 export type KeyVerdict =
   { kind: 'granted' } | { kind: 'held'; holder: string; address: string } | { kind: 'mismatch' } | { kind: 'unknown' };
 
@@ -17,7 +16,7 @@
 export interface KeyBid {
   key: string;
   body: string;
-  /** Names the bidding call; the same bid made twice is answered alike. */
+  /** Identifies the bidding call. A repeated bid gets the same verdict. */
   claimant: string;
   address: string;
 }
@@ -28,22 +27,22 @@
   address: string;
 }
 
-/** Keys remembered per namespace. Older numbers count as used. */
+/** Maximum number of keys per namespace. Lower sequence numbers count as used. */
 const kMaxKeysPerNamespace = 10_000;
 const kMaxNamespaces = 10_000;
 
 interface Namespace {
   grants: Map<number, Grant>;
-  /** Numbers below it are forgotten and count as used. */
+  /** Lower sequence numbers are evicted and count as used. */
   minSequence: number;
 }
 
-/** Settles keys at one daemon. */
+/** Settles the keys of one daemon. */
 export class KeySettler {
   private readonly _namespaces = new Map<string, Namespace>();
   private readonly _roots = new Map<string, Map<string, Grant>>();
 
-  /** Opens a namespace for a caller. */
+  /** Opens a namespace for a caller, and evicts the oldest one above the limit. */
   openNamespace(name: string): void {
     this._namespaces.set(name, { grants: new Map(), minSequence: 0 });
     const oldest = this._namespaces.keys().next();
@@ -69,19 +68,19 @@
     return verdict;
   }
 
-  /** Notes that a root request is being served here; its chain's derived keys are settled until it ends. */
+  /** Starts settling the derived keys in the chain of a root request that is being served on this daemon. */
   openRoot(root: string): void {
     if (!this._roots.has(root)) {
       this._roots.set(root, new Map());
     }
   }
 
-  /** Notes that a root request ended: no call of its chain may start any more. */
+  /** Removes a root request that is over, so that no further call of its chain can start. */
   closeRoot(root: string): void {
     this._roots.delete(root);
   }
 
-  /** Settles a key derived inside the chain of a root request. */
+  /** Settles a key that was derived in the chain of a root request. */
   settleDerived(root: string, bid: KeyBid): KeyVerdict {
     const grants = this._roots.get(root);
     if (!grants) {
--- a/packages/core/src/claims/lookUpResponse.ts
+++ b/packages/core/src/claims/lookUpResponse.ts
@@ -3,20 +3,19 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What the claimant of a key tells another daemon that asks for the answer. */
+/** Answers the request of another daemon for the recorded result of a key that this daemon claimed. */
 
 import type { FetchEnd } from '../procedures/effects.js';
 import type { ResponseStore } from './responseStore.js';
 
-/** A question for the answer of a key. */
 export interface ResponseQuery {
   key: string;
   body: string;
-  /** Who holds the key, as the asking daemon was told: `daemon/incarnation`, or that with a nonce. */
+  /** Holder of the key according to the requesting daemon: `daemon/incarnation`, optionally followed by `/nonce`. */
   claimant: string;
 }
 
-/** Looks a key up at the daemon `self`, given as `daemon/incarnation`. */
+/** Looks up a key on the daemon `self`, given as `daemon/incarnation`. Claims of another incarnation are unknown. */
 export function lookUpResponse(responses: ResponseStore, query: ResponseQuery, self: string): FetchEnd {
   const { key, body, claimant } = query;
   if (claimant !== self && !claimant.startsWith(`${self}/`)) {
--- a/packages/core/src/claims/responseStore.ts
+++ b/packages/core/src/claims/responseStore.ts
@@ -4,32 +4,32 @@
  */
 
 /**
- * Answers of keyed calls at the daemon that ran them, for callers that repeat.
+ * Stores the results of keyed calls at the daemon that ran them, so that repeated calls get the recorded response.
  *
- * Bounded in bytes: the oldest answers go first and leave the fact that the call ran, so that a repeat is told
- * `outcome_unknown` and is never run again.
+ * Bounded in bytes: the oldest responses are evicted first. Their keys stay as `forgotten`, so that a repeated call fails with
+ * `outcome_unknown` instead of running again.
  */
 
 import type { Served } from '../procedures/served.js';
 
-/** What is known of a key here. */
+/** Local state of a key. `body` is the digest of the request body. */
 export type KeyState =
   | { kind: 'running'; body: string }
   | { kind: 'answered'; body: string; served: Served }
   | { kind: 'forgotten'; body: string }
-  /** The call was given up before it ran; a repeat here may take its claim up again. */
+  /** The call was abandoned before it ran; a repeated call on this daemon may reuse its claim. */
   | { kind: 'abandoned'; body: string; nonce: string }
-  /** The claim is being given back to the log; nothing may run under it any more. */
+  /** The claim is being released in the log; no call may run under it any more. */
   | { kind: 'releasing'; body: string; nonce: string };
 
-/** Bytes counted for an entry beside its body. */
+/** Estimated size of an entry without its body, in bytes. */
 const kEntryBytes = 400;
 const kMaxForgotten = 20_000;
 const kMaxAbandoned = 10_000;
 
 type Waiter = (served: Served | undefined) => void;
 
-/** Store of recorded answers. */
+/** Results of keyed calls, by key. */
 export class ResponseStore {
   private readonly _states = new Map<string, KeyState>();
   private readonly _waiters = new Map<string, Set<Waiter>>();
@@ -38,32 +38,31 @@
   private readonly _abandoned = new Set<string>();
   private _bytes = 0;
 
-  /** @param _capacity bytes of answers kept */
+  /** @param _capacity maximum size of the recorded results, in bytes */
   constructor(private readonly _capacity: number) {}
 
-  /** Bytes of recorded answers. */
+  /** Size of the recorded results, in bytes. */
   get bytes(): number {
     return this._bytes;
   }
 
-  /** State of a key. */
   get(key: string): KeyState | undefined {
     return this._states.get(key);
   }
 
-  /** Notes that the call with this key is about to run here. */
+  /** Marks the call with this key as running on this daemon. */
   begin(key: string, body: string): void {
     this._abandoned.delete(key);
     this._states.set(key, { kind: 'running', body });
   }
 
-  /** Forgets the key: its call was not run, and another attempt may be made. */
+  /** Removes the key of a call that did not run, so that another attempt may be made. */
   drop(key: string, served?: Served): void {
     this._states.delete(key);
     this._notifyWaiters(key, served);
   }
 
-  /** Notes that the call was given up before it ran, although its claim holds or may still land in the log. */
+  /** Marks the call as abandoned before it ran, although its claim holds or may still be appended to the log. */
   abandon(key: string, claim: { body: string; nonce: string }, served: Served): void {
     this._states.set(key, { kind: 'abandoned', ...claim });
     this._abandoned.add(key);
@@ -71,7 +70,7 @@
     this._trim();
   }
 
-  /** Bars an abandoned claim from being taken up again; returns its nonce, or undefined when there is none. */
+  /** Prevents reuse of an abandoned claim while it is released; returns its nonce, or undefined when there is none. */
   beginRelease(key: string): string | undefined {
     const state = this._states.get(key);
     if (state?.kind !== 'abandoned' && state?.kind !== 'releasing') {
@@ -82,7 +81,7 @@
     return state.nonce;
   }
 
-  /** Records the end of a call. */
+  /** Records the result of a call. */
   record(key: string, served: Served): void {
     const body = this._states.get(key)?.body ?? '';
     this._states.set(key, { kind: 'answered', body, served });
@@ -92,7 +91,7 @@
     this._trim();
   }
 
-  /** Calls back once the running call of this key ended; undefined when it was given up. Returns how to stop waiting. */
+  /** Calls `waiter` when the running call of this key is over, with undefined when it has no result. Returns a cancel function. */
   wait(key: string, waiter: Waiter): () => void {
     const waiters = this._waiters.get(key) ?? new Set<Waiter>();
     waiters.add(waiter);
@@ -121,7 +120,7 @@
     this._evictOldest(this._abandoned, kMaxAbandoned);
   }
 
-  /** What is dropped here is still barred by its claim in the log, or by its settler: its repeat is told `outcome_unknown`. */
+  /** Removes the oldest keys. Their claim in the log, or their settler, still prevents a second run of the call. */
   private _evictOldest(keys: Set<string>, limit: number): void {
     for (const key of keys) {
       if (keys.size <= limit) {
--- a/tests/claims/claims.spec.ts
+++ b/tests/claims/claims.spec.ts
@@ -15,14 +15,14 @@
 }
 
 describe('a claim index', () => {
-  it('should let the first claim of a key in the log count', (t) => {
+  it('should make the first claim of a key in the log its holder', (t) => {
     const index = new ClaimIndex(10);
     index.apply(0, [claim('k', 'one'), claim('k', 'two')]);
     index.apply(1, [claim('k', 'three')]);
     t.is(index.holder('k')?.nonce, 'one');
   });
 
-  it('should let a key go only by the release of its holder', (t) => {
+  it('should release a key only for its holder', (t) => {
     const index = new ClaimIndex(10);
     index.apply(0, [claim('k', 'one')]);
     index.apply(1, [claim('k', 'two', true)]);
@@ -32,7 +32,7 @@
     t.is(index.holder('k')?.nonce, 'three');
   });
 
-  it('should fold each entry once and pass over what is no claim', (t) => {
+  it('should apply each entry once and ignore invalid entries', (t) => {
     const index = new ClaimIndex(10);
     index.apply(0, 'nothing');
     index.apply(1, [claim('k', 'one')]);
@@ -41,7 +41,7 @@
     t.is(index.next, 2);
   });
 
-  it('should stay within its bound', (t) => {
+  it('should stay within its capacity', (t) => {
     const index = new ClaimIndex(10);
     for (let i = 0; i < 100; i++) {
       index.apply(i, [claim(`k${i}`, 'one')]);
@@ -51,8 +51,8 @@
   });
 });
 
-describe('an answer store', () => {
-  it('should stay within its bytes, and remember that a forgotten call ran', (t) => {
+describe('a response store', () => {
+  it('should stay within its capacity, and keep the key of an evicted response', (t) => {
     const store = new ResponseStore(10_000);
     for (let i = 0; i < 20; i++) {
       store.begin(`k${i}`, 'body');
@@ -63,7 +63,7 @@
     t.is(store.get('k19')?.kind, 'answered');
   });
 
-  it('should wake who waits, with the answer or with the word that there is none', (t) => {
+  it('should notify waiters of the result, or that there is none', (t) => {
     const store = new ResponseStore(10_000);
     const received: (Served | undefined)[] = [];
     store.begin('k', 'body');
@@ -84,7 +84,7 @@
     address: claimant,
   });
 
-  it('should grant a numbered key to one claimant alone', (t) => {
+  it('should grant a numbered key to a single claimant', (t) => {
     const settler = new KeySettler();
     settler.openNamespace('ns');
     t.is(settler.settleMinted(bid(1, 'a')).kind, 'granted');
@@ -93,7 +93,7 @@
     t.is(settler.settleMinted(bid(1, 'b', 'other')).kind, 'mismatch');
   });
 
-  it('should know nothing of a namespace of an earlier run, or of numbers that it forgot', (t) => {
+  it('should not settle keys of unknown namespaces or evicted sequence numbers', (t) => {
     const settler = new KeySettler();
     t.is(settler.settleMinted(bid(1, 'a')).kind, 'unknown');
     settler.openNamespace('ns');
@@ -103,7 +103,7 @@
     t.is(settler.settleMinted(bid(1, 'b')).kind, 'unknown');
   });
 
-  it('should settle derived keys only while their root request is served', (t) => {
+  it('should settle derived keys only while their root request is being served', (t) => {
     const settler = new KeySettler();
     t.is(settler.settleDerived('root', bid(1, 'a')).kind, 'unknown');
     settler.openRoot('root');
