--- a/packages/core/src/procedures/admitRequest.ts
+++ b/packages/core/src/procedures/admitRequest.ts
@@ -11,8 +11,8 @@
 import type { Route } from '@gentiandrum/protocol';
 import type { RouteTable } from '../routing/routeTable.js';
 import type { PresentedKey } from '../workspaces/credentials.js';
-import type { QuotaEnd, TokenAnswer, TokenRequest } from '../workspaces/quotaAsker.js';
-import type { QuotaLimits, QuotaPart } from '../workspaces/quotaParts.js';
+import type { QuotaResult, TokenResponse, TokenRequest } from '../workspaces/quotaClient.js';
+import type { QuotaLimits, QuotaShare } from '../workspaces/quotaShares.js';
 import { keyHash, type WorkspaceTable } from '../workspaces/workspaceTable.js';
 
 /** A workspace's priority goes before that of routes, which are below this. */
@@ -44,7 +44,7 @@
   /** Until when that may be relied on, on the monotonic clock; infinite where revocation is not strict. */
   validUntil: number;
   /** Where its token came from; undefined when the workspace has no limit. */
-  token: QuotaPart | undefined;
+  token: QuotaShare | undefined;
 }
 
 /** What became of a request where it entered. */
@@ -66,13 +66,13 @@
   validUntil(): number;
   /** The monotonic clock, in milliseconds. */
   now(): number;
-  takeToken(workspace: string, limits: QuotaLimits): Generator<TokenRequest, QuotaEnd, TokenAnswer>;
+  takeToken(workspace: string, limits: QuotaLimits): Generator<TokenRequest, QuotaResult, TokenResponse>;
   /** Whether a request of a rank is to be turned away for the load on its chain; 0 is the most urgent, `keyed` are people's. */
   sheds(route: Route, rank: number, keyed: boolean): boolean;
 }
 
 /** Decides on one request. */
-export function* admitRequest(req: ArrivedRequest, around: AdmitSurroundings): Generator<TokenRequest, EntryEnd, TokenAnswer> {
+export function* admitRequest(req: ArrivedRequest, around: AdmitSurroundings): Generator<TokenRequest, EntryEnd, TokenResponse> {
   const tables = around.tables();
   if (!tables) {
     return { kind: 'no_configuration' };
@@ -96,7 +96,7 @@
     if (quota.kind !== 'granted') {
       return { kind: quota.kind, route, workspace: name, retryAfterMs: quota.retryAfterMs };
     }
-    workspace.token = quota.part;
+    workspace.token = quota.share;
   }
   return decideByLoad(route, workspace, priority * kRanksPerWorkspace + Math.min(kRanksPerWorkspace - 1, route.priority), tables, around);
 }
--- a/packages/core/src/workspaces/freshness.ts
+++ b/packages/core/src/workspaces/freshness.ts
@@ -14,10 +14,10 @@
 const kTrustedShare = 0.9;
 /** Age from which on a proof is renewed, as shares of that time: from a reader of the own zone, and from anybody. */
 const kRenewShare = 0.15;
-const kWidenShare = 0.4;
+const kAnyoneShare = 0.4;
 /** Pause between two requests for a proof, in milliseconds, and while there is none. */
-const kAskPauseMs = 500;
-const kStalePauseMs = 200;
+const kRequestIntervalMs = 500;
+const kStaleRequestIntervalMs = 200;
 
 /** That the platform's log had this version as its newest at a moment of the own monotonic clock, in milliseconds. */
 export interface VersionProof {
@@ -33,14 +33,14 @@
 }
 
 /** Whom to ask for a newer proof: nobody now, the readers of the own zone, or daemons of any zone. */
-export type ProofRequest = 'none' | 'readers' | 'anyone';
+export type ProofScope = 'none' | 'readers' | 'anyone';
 
 /** The proof of one daemon. */
 export class Freshness {
   private _proof: VersionProof | undefined;
   /** A later one, of a version that is not in force here yet. */
-  private _ahead: VersionProof | undefined;
-  private _askedAt = -Infinity;
+  private _pendingProof: VersionProof | undefined;
+  private _requestedAt = -Infinity;
   /** Nothing from up to then proves anything any more. */
   private _notBefore = -Infinity;
   /** When each request was made, by its number, the oldest first; numbers begin at random, so that none is another life's. */
@@ -66,27 +66,27 @@
   }
 
   /** Takes a proof; `inForce` is the version in force here. */
-  note(proof: VersionProof, inForce: number): void {
+  addProof(proof: VersionProof, appliedVersion: number): void {
     if (proof.at <= this._notBefore) {
       return;
     }
-    if (proof.version <= inForce) {
-      this._proof = later(this._proof, proof);
+    if (proof.version <= appliedVersion) {
+      this._proof = laterProof(this._proof, proof);
     } else {
-      this._ahead = later(this._ahead, proof);
+      this._pendingProof = laterProof(this._pendingProof, proof);
     }
   }
 
   /** The host was suspended: all that was proved, or asked for, is older than the steady clock says. */
   suspended(now: number): void {
     this._proof = undefined;
-    this._ahead = undefined;
+    this._pendingProof = undefined;
     this._requests.clear();
     this._notBefore = now;
   }
 
   /** The number of a new request. */
-  request(now: number): number {
+  startRequest(now: number): number {
     const id = this._nextId++;
     this._requests.set(id, now);
     for (const [oldId, at] of this._requests) {
@@ -98,23 +98,23 @@
   }
 
   /** Takes the answer of another daemon; one to a request that this daemon did not make, or made too long ago, proves nothing. */
-  noteReply({ id, ageMs, version }: ProofReply, inForce: number): void {
-    const askedAt = this._requests.get(id);
-    if (askedAt !== undefined && ageMs >= 0) {
-      this.note({ at: askedAt - ageMs, version }, inForce);
+  addReply({ id, ageMs, version }: ProofReply, appliedVersion: number): void {
+    const requestedAt = this._requests.get(id);
+    if (requestedAt !== undefined && ageMs >= 0) {
+      this.addProof({ at: requestedAt - ageMs, version }, appliedVersion);
     }
   }
 
   /** A version came into force: what proves it counts from now on. */
-  inForce(version: number): void {
-    if (this._ahead && this._ahead.version <= version) {
-      this._proof = later(this._proof, this._ahead);
-      this._ahead = undefined;
+  versionApplied(version: number): void {
+    if (this._pendingProof && this._pendingProof.version <= version) {
+      this._proof = laterProof(this._proof, this._pendingProof);
+      this._pendingProof = undefined;
     }
   }
 
   /** Whether nothing has been proved since a suspension. */
-  get waking(): boolean {
+  get awaitingProof(): boolean {
     return this.strict && this._notBefore > -Infinity && this._proof === undefined;
   }
 
@@ -132,7 +132,7 @@
   }
 
   /** The answer to a request; undefined when this daemon has no proof of use. */
-  reply(id: number, now: number): ProofReply | undefined {
+  createReply(id: number, now: number): ProofReply | undefined {
     const proof = this._proof;
     if (!proof || now - proof.at >= this.trustedMs) {
       return undefined;
@@ -141,18 +141,18 @@
   }
 
   /** Whom to ask now; counts as done. A daemon that reads the log by itself asks only when that does not do. */
-  whomToAsk(now: number, reads: boolean): ProofRequest {
+  nextRequestScope(now: number, isReader: boolean): ProofScope {
     const age = this.ageMs(now);
-    const due = this.trustedMs * (reads ? kWidenShare : kRenewShare);
-    const pauseMs = age > this.trustedMs ? kStalePauseMs : kAskPauseMs;
-    if (!this.strict || age < due || now - this._askedAt < pauseMs) {
+    const renewAge = this.trustedMs * (isReader ? kAnyoneShare : kRenewShare);
+    const intervalMs = age > this.trustedMs ? kStaleRequestIntervalMs : kRequestIntervalMs;
+    if (!this.strict || age < renewAge || now - this._requestedAt < intervalMs) {
       return 'none';
     }
-    this._askedAt = now;
-    return age < this.trustedMs * kWidenShare ? 'readers' : 'anyone';
+    this._requestedAt = now;
+    return age < this.trustedMs * kAnyoneShare ? 'readers' : 'anyone';
   }
 }
 
-function later(a: VersionProof | undefined, b: VersionProof): VersionProof {
+function laterProof(a: VersionProof | undefined, b: VersionProof): VersionProof {
   return a === undefined || b.at > a.at ? b : a;
 }
--- a/packages/core/src/workspaces/quotaBucket.ts
+++ b/packages/core/src/workspaces/quotaBucket.ts
@@ -5,16 +5,16 @@
 
 /** Bucket of one part of a quota: filled at its rate up to its capacity, a whole token for each request. */
 
-import type { PartLimits } from './quotaParts.js';
+import type { ShareLimits } from './quotaShares.js';
 
 const kMsPerSecond = 1_000;
 /** Share of the capacity up to which future tokens are named to refused askers. */
 const kPromisedShare = 0.5;
 /** Longest wait that a bucket without a rate names, in milliseconds. */
-const kNeverMs = 60_000;
+const kMaxWaitMs = 60_000;
 
 /** Answer to a request for a token: granted, or when there will be one. */
-export type TokenEnd = { granted: true } | { granted: false; waitMs: number };
+export type TokenResult = { granted: true } | { granted: false; waitMs: number };
 
 /** One bucket. Times are on the monotonic clock, in milliseconds. */
 export class QuotaBucket {
@@ -24,38 +24,38 @@
 
   /** @param start tokens to begin with */
   constructor(
-    private _limits: PartLimits,
+    private _limits: ShareLimits,
     start: number,
-    private _filledAt: number,
+    private _refilledAt: number,
   ) {
     this._tokens = Math.min(start, _limits.capacity);
   }
 
   /** When it was last used. */
-  get usedAt(): number {
-    return this._filledAt;
+  get lastUsedAt(): number {
+    return this._refilledAt;
   }
 
   /** Follows new limits at once: what is above a lower capacity is gone. */
-  limit(limits: PartLimits, now: number): void {
-    this._fill(now);
+  setLimits(limits: ShareLimits, now: number): void {
+    this._refill(now);
     this._limits = limits;
     this._tokens = Math.min(this._tokens, limits.capacity);
   }
 
   /** Takes one token. */
-  take(now: number): TokenEnd {
-    this._fill(now);
+  take(now: number): TokenResult {
+    this._refill(now);
     if (this._tokens >= 1) {
       this._tokens--;
       return { granted: true };
     }
-    return { granted: false, waitMs: this._promise(now) };
+    return { granted: false, waitMs: this._nextWaitMs(now) };
   }
 
   /** Takes back tokens of requests that have not run. */
-  giveBack(count: number, now: number): void {
-    this._fill(now);
+  returnTokens(count: number, now: number): void {
+    this._refill(now);
     this._tokens = Math.min(this._limits.capacity, this._tokens + count);
   }
 
@@ -64,21 +64,21 @@
    * one: 1.5 questions a request in place of 6.7 at 7.5 times the usual (`tests/workspaces`). Never for longer than half the bucket
    * takes to fill, or tokens would be lost.
    */
-  private _promise(now: number): number {
+  private _nextWaitMs(now: number): number {
     const { ratePerSecond, capacity } = this._limits;
     if (ratePerSecond <= 0) {
-      return kNeverMs;
+      return kMaxWaitMs;
     }
     const tokenMs = kMsPerSecond / ratePerSecond;
     const firstAt = now + (1 - this._tokens) * tokenMs;
     const latestAt = Math.max(firstAt, now + kPromisedShare * capacity * tokenMs);
     this._promisedAt = Math.min(latestAt, Math.max(firstAt, this._promisedAt + tokenMs));
-    return Math.min(kNeverMs, this._promisedAt - now);
+    return Math.min(kMaxWaitMs, this._promisedAt - now);
   }
 
-  private _fill(now: number): void {
-    const filled = (this._limits.ratePerSecond * Math.max(0, now - this._filledAt)) / kMsPerSecond;
-    this._tokens = Math.min(this._limits.capacity, this._tokens + filled);
-    this._filledAt = now;
+  private _refill(now: number): void {
+    const refill = (this._limits.ratePerSecond * Math.max(0, now - this._refilledAt)) / kMsPerSecond;
+    this._tokens = Math.min(this._limits.capacity, this._tokens + refill);
+    this._refilledAt = now;
   }
 }
--- a/packages/core/src/workspaces/quotaParts.ts
+++ b/packages/core/src/workspaces/quotaShares.ts
@@ -14,12 +14,12 @@
 /** Owners of a workspace in one zone: with one owner lost, two thirds of the zone's part stay of use. */
 const kOwnersPerZone = 3;
 /** Most parts in all: each should hold more than one whole request of the smallest workspaces. */
-const kMaxParts = 12;
+const kMaxShares = 12;
 /** Shares of the slack that the parts' capacity takes, and what parts begin with. The rest is for hosts that join and leave. */
 const kCapacitySlack = 0.45;
-const kStartSlack = 0.45;
+const kReserveSlack = 0.45;
 /** Share of the overage that parts begin with. */
-const kStartOverage = 0.5;
+const kReserveOverage = 0.5;
 
 /** A host that can own parts. */
 export interface QuotaHost {
@@ -39,32 +39,32 @@
 }
 
 /** One part of a quota. */
-export interface QuotaPart {
+export interface QuotaShare {
   host: string;
   zone: string;
   /** Share of the whole. */
-  share: number;
+  fraction: number;
 }
 
 /** Limits of one part, in requests. */
-export interface PartLimits {
+export interface ShareLimits {
   ratePerSecond: number;
   capacity: number;
   /** What it begins with. */
-  start: number;
+  reserve: number;
 }
 
 /** Limits of a part with a share of the whole; their sum over all parts is the bound less what is kept for joins and leavings. */
-export function partLimits({ ratePerSecond, burst }: QuotaLimits, share: number, settings: QuotaSettings): PartLimits {
+export function shareLimits({ ratePerSecond, burst }: QuotaLimits, fraction: number, settings: QuotaSettings): ShareLimits {
   const perWindow = ratePerSecond * settings.windowSeconds + burst;
-  const capacity = share * (burst + kCapacitySlack * settings.slack);
-  const start = share * (kStartSlack * settings.slack + kStartOverage * settings.overage * perWindow);
-  return { ratePerSecond: ratePerSecond * share, capacity, start: Math.min(capacity, start) };
+  const capacity = fraction * (burst + kCapacitySlack * settings.slack);
+  const reserve = fraction * (kReserveSlack * settings.slack + kReserveOverage * settings.overage * perWindow);
+  return { ratePerSecond: ratePerSecond * fraction, capacity, reserve: Math.min(capacity, reserve) };
 }
 
 /** The parts of a workspace's quota, by rendezvous over the hosts known, in the order of their owners' rank. */
-export function divideQuota(workspace: string, hosts: readonly HashedHost[], limits: QuotaLimits, settings: QuotaSettings): QuotaPart[] {
-  const ranked = ranks(workspace, hosts);
+export function divideQuota(workspace: string, hosts: readonly HashedHost[], limits: QuotaLimits, settings: QuotaSettings): QuotaShare[] {
+  const ranked = rankHosts(workspace, hosts);
   const zones = new Map<string, QuotaHost[]>();
   for (const host of ranked) {
     const zone = zones.get(host.zone);
@@ -74,34 +74,34 @@
       zones.set(host.zone, [host]);
     }
   }
-  const parts = mostParts(limits, settings);
-  if (parts < zones.size) {
-    return equalParts(ranked.slice(0, parts));
+  const shareCount = maxShares(limits, settings);
+  if (shareCount < zones.size) {
+    return equalShares(ranked.slice(0, shareCount));
   }
-  const perZone = Math.min(kOwnersPerZone, Math.floor(parts / zones.size));
+  const sharesPerZone = Math.min(kOwnersPerZone, Math.floor(shareCount / zones.size));
   return [...zones.values()].flatMap((members) => {
-    const owners = members.slice(0, perZone);
-    return owners.map(({ host, zone }) => ({ host, zone, share: members.length / hosts.length / owners.length }));
+    const owners = members.slice(0, sharesPerZone);
+    return owners.map(({ host, zone }) => ({ host, zone, fraction: members.length / hosts.length / owners.length }));
   });
 }
 
 /** By falling weight. Nothing of it is held: weights of 490 hosts for 5,000 workspaces would take more memory than a daemon has. */
-function ranks(workspace: string, hosts: readonly HashedHost[]): QuotaHost[] {
+function rankHosts(workspace: string, hosts: readonly HashedHost[]): QuotaHost[] {
   const hash = hashText(workspace);
-  const weighed = hosts.map((host) => ({ host, weight: hashPair(hash, host.hash) }));
-  return weighed.sort((a, b) => b.weight - a.weight).map(({ host }) => host);
+  const weighted = hosts.map((host) => ({ host, weight: hashPair(hash, host.hash) }));
+  return weighted.sort((a, b) => b.weight - a.weight).map(({ host }) => host);
 }
 
 /** Hosts with the hashes of their names. */
-export function withHashes(hosts: readonly QuotaHost[]): HashedHost[] {
+export function hashHosts(hosts: readonly QuotaHost[]): HashedHost[] {
   return hosts.map(({ host, zone }) => ({ host, zone, hash: hashText(host) }));
 }
 
 /** Each part should hold a whole request. */
-function mostParts({ burst }: QuotaLimits, { slack }: QuotaSettings): number {
-  return Math.max(1, Math.min(kMaxParts, Math.floor(burst + kCapacitySlack * slack)));
+function maxShares({ burst }: QuotaLimits, { slack }: QuotaSettings): number {
+  return Math.max(1, Math.min(kMaxShares, Math.floor(burst + kCapacitySlack * slack)));
 }
 
-function equalParts(owners: readonly QuotaHost[]): QuotaPart[] {
-  return owners.map(({ host, zone }) => ({ host, zone, share: 1 / owners.length }));
+function equalShares(owners: readonly QuotaHost[]): QuotaShare[] {
+  return owners.map(({ host, zone }) => ({ host, zone, fraction: 1 / owners.length }));
 }
--- a/packages/core/src/workspaces/workspaceTable.ts
+++ b/packages/core/src/workspaces/workspaceTable.ts
@@ -11,7 +11,7 @@
 /** Hexadecimal digits of a key's hash in log lines: enough to tell two keys apart, too few to find one. */
 const kLoggedDigits = 4;
 
-interface HeldKey {
+interface KeyEntry {
   key: string;
   workspace: Workspace;
 }
@@ -21,21 +21,21 @@
   /** Whether requests need a key, but for those on exempt routes. */
   readonly required: boolean;
   private readonly _byName = new Map<string, Workspace>();
-  private readonly _byHash = new Map<number, HeldKey[]>();
+  private readonly _byHash = new Map<number, KeyEntry[]>();
 
   constructor(cfg: Pick<MeshConfig, 'workspaces'>) {
     this.required = cfg.workspaces !== undefined;
     for (const workspace of cfg.workspaces ?? []) {
       this._byName.set(workspace.name, workspace);
       for (const key of workspace.keys) {
-        this._hold(key, workspace);
+        this._addKey(key, workspace);
       }
     }
   }
 
   /** The workspace that holds a key. */
   find(key: string): Workspace | undefined {
-    return this._byHash.get(hashText(key))?.find((held) => sameText(held.key, key))?.workspace;
+    return this._byHash.get(hashText(key))?.find((entry) => equalInConstantTime(entry.key, key))?.workspace;
   }
 
   /** The workspace of a name. */
@@ -44,16 +44,16 @@
   }
 
   /** Whether a workspace holds a key of this hash. */
-  holds(workspace: string, keyHash: number): boolean {
-    return this._byHash.get(keyHash)?.some((held) => held.workspace.name === workspace) ?? false;
+  hasKey(workspace: string, keyHash: number): boolean {
+    return this._byHash.get(keyHash)?.some((entry) => entry.workspace.name === workspace) ?? false;
   }
 
   /** A key in two workspaces is the first one's, as at every other daemon. */
-  private _hold(key: string, workspace: Workspace): void {
+  private _addKey(key: string, workspace: Workspace): void {
     const hash = hashText(key);
-    const held = this._byHash.get(hash) ?? [];
-    if (!held.some((other) => other.key === key)) {
-      this._byHash.set(hash, [...held, { key, workspace }]);
+    const entries = this._byHash.get(hash) ?? [];
+    if (!entries.some((entry) => entry.key === key)) {
+      this._byHash.set(hash, [...entries, { key, workspace }]);
     }
   }
 }
@@ -64,12 +64,12 @@
 }
 
 /** What a log line says of a key. */
-export function loggedKey(key: string): string {
+export function loggedKeyHash(key: string): string {
   return hashText(key).toString(16).padStart(8, '0').slice(0, kLoggedDigits);
 }
 
 /** Compares in a time that does not tell where two texts of one length differ. */
-function sameText(a: string, b: string): boolean {
+function equalInConstantTime(a: string, b: string): boolean {
   if (a.length !== b.length) {
     return false;
   }
--- a/packages/mesh/src/app/calls/requestEntry.ts
+++ b/packages/mesh/src/app/calls/requestEntry.ts
@@ -15,7 +15,7 @@
   type RequestWorkspace,
   RootAdmission,
   type RoutingTables,
-  type TokenAnswer,
+  type TokenResponse,
   type TokenRequest,
 } from '@gentiandrum/core';
 import type { Route } from '@gentiandrum/protocol';
@@ -57,7 +57,7 @@
     const progress = { left: false };
     const advance = (step: IteratorResult<TokenRequest, EntryEnd>): void => {
       if (step.done !== true) {
-        this._deps.quotas.ask(step.value, (answer: TokenAnswer) => {
+        this._deps.quotas.ask(step.value, (answer: TokenResponse) => {
           advance(procedure.next(answer));
         });
         return;
--- a/packages/mesh/src/app/workspaces/proofKeeper.ts
+++ b/packages/mesh/src/app/workspaces/proofKeeper.ts
@@ -62,12 +62,12 @@
   /** Whether the host was suspended, and nothing has proved the configuration fresh since. */
   get waking(): boolean {
     this._noteOwn();
-    return this._freshness.waking;
+    return this._freshness.awaitingProof;
   }
 
   /** A version came into force. */
   inForce(version: number): void {
-    this._freshness.inForce(version);
+    this._freshness.versionApplied(version);
   }
 
   /** Asks for a newer proof when it is due; called a few times a second. */
@@ -80,11 +80,11 @@
     const now = monotonicMs();
     this._noteStale(now);
     const known = deps.readers();
-    const whom = this._freshness.whomToAsk(now, deps.reads());
+    const whom = this._freshness.nextRequestScope(now, deps.reads());
     if (whom === 'none') {
       return;
     }
-    const message = { type: 'proof_wanted', id: this._freshness.request(now) } as const;
+    const message = { type: 'proof_wanted', id: this._freshness.startRequest(now) } as const;
     const reader = known[this._turn++ % Math.max(1, known.length)];
     if (whom === 'readers' && reader !== undefined) {
       deps.sendTo(reader, message);
@@ -96,14 +96,14 @@
   /** Answers another daemon; nothing when there is no proof. */
   replyTo(id: number): PeerMessage | undefined {
     this._noteOwn();
-    const reply = this._freshness.reply(id, monotonicMs());
+    const reply = this._freshness.createReply(id, monotonicMs());
     return reply && { type: 'proof', ...reply };
   }
 
   /** Takes the answer of another daemon. */
   take(reply: ProofReply): void {
     this._noteSuspension();
-    this._freshness.noteReply(reply, this._deps.version());
+    this._freshness.addReply(reply, this._deps.version());
   }
 
   /** Before anything that relies on a proof: a request may be the first thing that the process sees on waking up. */
@@ -121,7 +121,7 @@
     this._noteSuspension();
     const proof = this._deps.ownProof();
     if (proof) {
-      this._freshness.note(proof, this._deps.version());
+      this._freshness.addProof(proof, this._deps.version());
     }
   }
 
--- a/packages/mesh/src/app/workspaces/quotaService.ts
+++ b/packages/mesh/src/app/workspaces/quotaService.ts
@@ -6,14 +6,14 @@
 /** Carries requests for tokens of quotas to the daemons that own them, answers those of others, and gives back what did not run. */
 
 import {
-  type GrantEnd,
+  type GrantResult,
   monotonicMs,
-  QuotaAsker,
-  type QuotaEnd,
+  QuotaClient,
+  type QuotaResult,
   type QuotaLimits,
   type QuotaMembers,
   QuotaOwner,
-  type TokenAnswer,
+  type TokenResponse,
   type TokenRequest,
   type WorkspaceTable,
 } from '@gentiandrum/core';
@@ -43,7 +43,7 @@
   host: string;
   workspace: string;
   expiresAt: number;
-  done: (answer: TokenAnswer) => void;
+  done: (answer: TokenResponse) => void;
 }
 
 /** Counts since the start. */
@@ -57,7 +57,7 @@
 /** Tokens of one daemon. */
 export class QuotaService {
   readonly counts: QuotaCounts = { granted: 0, denied: 0, givenBack: 0, unanswered: 0 };
-  private readonly _asker: QuotaAsker;
+  private readonly _asker: QuotaClient;
   private readonly _owner: QuotaOwner;
   private readonly _pending = new Map<number, Pending>();
   private _nextId = 1;
@@ -68,7 +68,7 @@
 
   constructor(private readonly _deps: QuotaServiceDeps) {
     const { settings, members } = _deps;
-    this._asker = new QuotaAsker({ host: settings.id, zone: settings.zone }, members, settings.quotas, monotonicMs);
+    this._asker = new QuotaClient({ host: settings.id, zone: settings.zone }, members, settings.quotas, monotonicMs);
     this._owner = new QuotaOwner(settings.quotas, monotonicMs());
     this._revision = members.revision;
   }
@@ -79,12 +79,12 @@
   }
 
   /** Takes a token; a procedure to be driven with {@link ask}. */
-  take(workspace: string, limits: QuotaLimits): Generator<TokenRequest, QuotaEnd, TokenAnswer> {
+  take(workspace: string, limits: QuotaLimits): Generator<TokenRequest, QuotaResult, TokenResponse> {
     return this._asker.take(workspace, limits);
   }
 
   /** Asks the owner of a part. The answer may come before this returns. */
-  ask({ workspace, part }: TokenRequest, done: (answer: TokenAnswer) => void): void {
+  ask({ workspace, share: part }: TokenRequest, done: (answer: TokenResponse) => void): void {
     if (part.host === this._deps.settings.id) {
       done(this._grant(workspace));
       return;
@@ -99,7 +99,7 @@
   giveBack(workspace: string, host: string): void {
     this.counts.givenBack++;
     if (host === this._deps.settings.id) {
-      this._owner.giveBack(workspace, 1, monotonicMs());
+      this._owner.returnTokens(workspace, 1, monotonicMs());
       return;
     }
     const counts = this._back.get(host) ?? new Map<string, number>();
@@ -113,7 +113,7 @@
   }
 
   /** Takes an owner's answer; a grant that comes too late goes back. */
-  answered(host: string, workspace: string, id: number, end: GrantEnd): void {
+  answered(host: string, workspace: string, id: number, end: GrantResult): void {
     const pending = this._pending.get(id);
     if (pending) {
       this._pending.delete(id);
@@ -126,13 +126,13 @@
   /** Another daemon gives tokens back. */
   takeBack(tokens: Readonly<Record<string, number>>): void {
     for (const [workspace, count] of Object.entries(tokens)) {
-      this._owner.giveBack(workspace, count, monotonicMs());
+      this._owner.returnTokens(workspace, count, monotonicMs());
     }
   }
 
   /** A host can be reached, or can't. */
   reached(host: string, up: boolean): void {
-    this._asker.reached(host, up);
+    this._asker.setReachable(host, up);
     if (!up) {
       for (const [id, pending] of this._pending) {
         if (pending.host === host) {
@@ -149,9 +149,9 @@
   notePredecessor(agoMs: number): void {
     const { quotas, log } = this._deps.settings;
     if (log.firstStart && agoMs === Infinity) {
-      this._owner.mayBeginFull();
+      this._owner.startFull();
     } else if (agoMs > quotas.windowSeconds * 1_000 + kWindowMarginMs) {
-      this._owner.mayBeginWithReserve();
+      this._owner.startWithReserve();
     }
   }
 
@@ -176,7 +176,7 @@
     }
   }
 
-  private _grant(workspace: string): GrantEnd {
+  private _grant(workspace: string): GrantResult {
     const tables = this._deps.tables();
     const held = tables?.workspaces.get(workspace);
     if (!tables || !held || !this._deps.complete()) {
@@ -188,7 +188,7 @@
     }
     this._noteMembers();
     const limits = { ratePerSecond, burst };
-    const part = this._asker.partOf(workspace, limits, this._deps.settings.id);
+    const part = this._asker.shareOf(workspace, limits, this._deps.settings.id);
     const end = this._owner.take(workspace, part, limits, tables.version, monotonicMs());
     if (end !== 'not_owner') {
       this.counts[end.granted ? 'granted' : 'denied']++;
--- a/packages/mesh/src/app/workspaces/workspaces.ts
+++ b/packages/mesh/src/app/workspaces/workspaces.ts
@@ -93,7 +93,7 @@
       return false;
     }
     const tables = this._deps.tables();
-    return tables === undefined || tables.version <= version || tables.workspaces.holds(name, keyHash);
+    return tables === undefined || tables.version <= version || tables.workspaces.hasKey(name, keyHash);
   }
 
   /** Takes a message of another daemon; answers go back over its link, so that none can be of another life. */
--- a/packages/mesh/src/client/peerMessages.ts
+++ b/packages/mesh/src/client/peerMessages.ts
@@ -8,7 +8,7 @@
  * come again and again (routes, services, headers) travel as short numbers once both ends know them.
  */
 
-import type { GateReport, GrantEnd, NotRunReason, Suspicion, TargetRecord, WholeAnswer } from '@gentiandrum/core';
+import type { GateReport, GrantResult, NotRunReason, Suspicion, TargetRecord, WholeAnswer } from '@gentiandrum/core';
 import type { MeshConfig } from '@gentiandrum/protocol';
 import { Packr, Unpackr } from 'msgpackr';
 import { callFields, callFrom, headersFrom, loadFields, loadFrom, type PeerCall } from './callCodec.js';
@@ -44,7 +44,7 @@
   | { type: 'proof'; id: number; ageMs: number; version: number }
   /** Asks the owner of a part of a workspace's quota for a token. */
   | { type: 'token_wanted'; id: number; workspace: string }
-  | { type: 'token'; id: number; workspace: string; end: GrantEnd }
+  | { type: 'token'; id: number; workspace: string; end: GrantResult }
   /** Tokens of requests that have not run, by workspace. */
   | { type: 'tokens_back'; tokens: Readonly<Record<string, number>> }
   /** Kinds of requests that targets may have ended by, with all that is known of each. */
@@ -205,14 +205,14 @@
 }
 
 /** Granted, or the wait in milliseconds, or that the receiver has no part in the quota. */
-function grantFields(end: GrantEnd): unknown[] {
+function grantFields(end: GrantResult): unknown[] {
   if (end === 'not_owner') {
     return [kNotOwner];
   }
   return [end.granted ? 0 : Math.ceil(end.waitMs)];
 }
 
-function grantFrom(field: unknown): GrantEnd {
+function grantFrom(field: unknown): GrantResult {
   const waitMs = field as number;
   if (waitMs === kNotOwner) {
     return 'not_owner';
--- a/packages/mesh/src/server/entryRefusals.ts
+++ b/packages/mesh/src/server/entryRefusals.ts
@@ -5,7 +5,7 @@
 
 /** What callers, logs and metrics are told of a request that was refused where it entered: one table for all outcomes. */
 
-import { type EntryEnd, loggedKey } from '@gentiandrum/core';
+import { type EntryEnd, loggedKeyHash } from '@gentiandrum/core';
 import type { EventFields } from '../app/eventLog.js';
 import type { RequestOutcome } from '../app/latencyMetric.js';
 
@@ -96,7 +96,7 @@
     case 'stale_configuration':
       return { route: end.route.name };
     case 'unknown_key':
-      return { route: end.route.name, ...(end.key === undefined ? {} : { key: loggedKey(end.key) }) };
+      return { route: end.route.name, ...(end.key === undefined ? {} : { key: loggedKeyHash(end.key) }) };
     case 'over_quota':
     case 'quota_unknown':
       return { route: end.route.name, workspace: end.workspace, retryAfterMs: Math.round(end.retryAfterMs) };
--- a/tests/workspaces/admitRequest.spec.ts
+++ b/tests/workspaces/admitRequest.spec.ts
@@ -38,36 +38,36 @@
 });
 const kTables = { version: 3, routes: new RouteTable(kConfig), workspaces: new WorkspaceTable(kConfig) };
 
-interface Noted {
+interface Recorded {
   taken: string[];
   ranks: number[];
 }
 
-function around(noted: Noted, changed: Partial<AdmitSurroundings> = {}): AdmitSurroundings {
+function surroundings(recorded: Recorded, changed: Partial<AdmitSurroundings> = {}): AdmitSurroundings {
   return {
     tables: () => kTables,
     validUntil: () => 1_000,
     now: () => 0,
     *takeToken(workspace) {
-      noted.taken.push(workspace);
-      return { kind: 'granted', part: { host: 'h', zone: 'z', share: 1 } };
+      recorded.taken.push(workspace);
+      return { kind: 'granted', share: { host: 'h', zone: 'z', fraction: 1 } };
     },
     sheds: (_route, rank) => {
-      noted.ranks.push(rank);
+      recorded.ranks.push(rank);
       return false;
     },
     ...changed,
   };
 }
 
-function enter(req: Partial<ArrivedRequest>, changed?: Partial<AdmitSurroundings>): { end: EntryEnd; noted: Noted } {
-  const noted: Noted = { taken: [], ranks: [] };
-  const procedure = admitRequest({ host: 'app', path: '/read/1', presented: { kind: 'none' }, ...req }, around(noted, changed));
+function enter(req: Partial<ArrivedRequest>, changed?: Partial<AdmitSurroundings>): { end: EntryEnd; recorded: Recorded } {
+  const recorded: Recorded = { taken: [], ranks: [] };
+  const procedure = admitRequest({ host: 'app', path: '/read/1', presented: { kind: 'none' }, ...req }, surroundings(recorded, changed));
   const step = procedure.next();
   if (step.done !== true) {
     throw new Error('expected no question');
   }
-  return { end: step.value, noted };
+  return { end: step.value, recorded };
 }
 
 const kCrew = { presented: { kind: 'key', key: 'k-crew' } } as const;
@@ -86,16 +86,16 @@
       ['admitted', { path: '/open/1' }, { validUntil: () => 0 }],
     ];
     for (const [kind, req, changed] of cases) {
-      const { end, noted } = enter(req, changed);
+      const { end, recorded } = enter(req, changed);
       t.is(end.kind, kind);
-      t.deepEqual(noted.taken, []);
+      t.deepEqual(recorded.taken, []);
     }
-    t.deepEqual(enter(kCrew).noted.taken, ['crew']);
-    t.deepEqual(enter({ presented: { kind: 'key', key: 'k-free' } }).noted.taken, []);
+    t.deepEqual(enter(kCrew).recorded.taken, ['crew']);
+    t.deepEqual(enter({ presented: { kind: 'key', key: 'k-free' } }).recorded.taken, []);
   });
 
   it('should rank by workspace before route', (t) => {
-    const rankOf = (key: string, path: string): number => enter({ presented: { kind: 'key', key }, path }).noted.ranks[0] ?? -1;
+    const rankOf = (key: string, path: string): number => enter({ presented: { kind: 'key', key }, path }).recorded.ranks[0] ?? -1;
     const ranks = [rankOf('k-crew', '/hold/1'), rankOf('k-crew', '/read/1'), rankOf('k-office', '/hold/1'), rankOf('k-office', '/read/1')];
     t.deepEqual(
       ranks,
@@ -116,7 +116,7 @@
   const kLevel = 0.33;
 
   /** Shares of requests that are let in, by workspace; `hot` sends eight times its usual. */
-  function play(hot: boolean): { hot: number; others: number; rejected: number } {
+  function runLoad(hot: boolean): { hot: number; others: number; rejected: number } {
     const random = seededRandom(3);
     const admission = new RootAdmission();
     const buckets = new Map<string, QuotaBucket>();
@@ -127,7 +127,7 @@
         if (random() >= rate / 1_000) {
           continue;
         }
-        const limits = { ratePerSecond: kUsual * 1.6, capacity: kUsual * 1.6, start: 0 };
+        const limits = { ratePerSecond: kUsual * 1.6, capacity: kUsual * 1.6, reserve: 0 };
         const bucket = buckets.get(name) ?? new QuotaBucket(limits, kUsual, now);
         buckets.set(name, bucket);
         const count = counts.get(name) ?? { came: 0, in: 0, over: 0 };
@@ -138,7 +138,7 @@
         } else if (admission.admits(1_000, kLevel, random(), now)) {
           count.in++;
         } else {
-          bucket.giveBack(1, now);
+          bucket.returnTokens(1, now);
         }
       }
     }
@@ -150,8 +150,8 @@
   }
 
   it('should cost the others nothing, as what is over its quota is refused before it counts as load', (t) => {
-    const calm = play(false);
-    const rush = play(true);
+    const calm = runLoad(false);
+    const rush = runLoad(true);
     t.true(Math.abs(rush.others - calm.others) < 0.02, `${calm.others} let in before, ${rush.others} beside it`);
     t.true(rush.rejected > 0.5);
     t.true(rush.hot > 0.1, 'it is still served what it is owed');
--- a/tests/workspaces/keys.spec.ts
+++ b/tests/workspaces/keys.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { keyHash, loggedKey, readCredentials, WorkspaceTable } from '@gentiandrum/core';
+import { keyHash, loggedKeyHash, readCredentials, WorkspaceTable } from '@gentiandrum/core';
 import { workspaceFaults, type Workspace } from '@gentiandrum/protocol';
 import fc from 'fast-check';
 import { describe, it } from '../support/describe.js';
@@ -45,7 +45,7 @@
         const table = new WorkspaceTable({ workspaces: held.map((key, i) => workspace(`w${i}`, key)) });
         held.forEach((key, i) => {
           t.is(table.find(key)?.name, `w${i}`);
-          t.true(table.holds(`w${i}`, keyHash(key)));
+          t.true(table.hasKey(`w${i}`, keyHash(key)));
         });
         t.is(table.find(unknown), undefined);
       }),
@@ -57,7 +57,7 @@
     const table = new WorkspaceTable({ workspaces });
     t.is(table.find('k1')?.name, 'a');
     t.is(table.find('k2')?.name, 'b');
-    t.false(table.holds('b', keyHash('k1')));
+    t.false(table.hasKey('b', keyHash('k1')));
     t.deepEqual(workspaceFaults({ workspaces }), ['workspaces.1.keys.0: expected a key of one workspace, got one that a has too']);
   });
 
@@ -68,8 +68,8 @@
 
   it('should tell next to nothing of a key in a log line', (t) => {
     const key = 'ix6iwjgbt3rrdb9xz77s';
-    t.regex(loggedKey(key), /^[0-9a-f]{4}$/);
-    t.not(loggedKey(key), loggedKey('3y7a3rmfy673vp95baib'));
+    t.regex(loggedKeyHash(key), /^[0-9a-f]{4}$/);
+    t.not(loggedKeyHash(key), loggedKeyHash('3y7a3rmfy673vp95baib'));
   });
 
   it('should look at no more keys with ten thousand than with ten', (t) => {
--- a/tests/workspaces/quotas.spec.ts
+++ b/tests/workspaces/quotas.spec.ts
@@ -9,14 +9,14 @@
  */
 
 import {
-  QuotaAsker,
+  QuotaClient,
   QuotaBucket,
-  type QuotaEnd,
+  type QuotaResult,
   type QuotaHost,
   type QuotaLimits,
   QuotaOwner,
   seededRandom,
-  type TokenAnswer,
+  type TokenResponse,
   type TokenRequest,
 } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
@@ -25,9 +25,9 @@
 const kWindowMs = kSettings.windowSeconds * 1_000;
 const kZones = 5;
 const kDaemons = 60;
-const kAnswerMs = 100;
+const kResponseTimeoutMs = 100;
 /** Time in which members of the fleet hear of a change, and of a version, when nothing fails, in milliseconds. */
-const kToldMs = 300;
+const kUpdateMs = 300;
 const kApplyMs = 2_500;
 /** Margin of the wall clock when a daemon judges how long ago its predecessor started, in milliseconds. */
 const kRestartMarginMs = 1_000;
@@ -39,23 +39,23 @@
   untilMs: number;
 }
 
-interface Played {
+interface HistoryResult {
   arrivals: number;
   served: number;
   /** What one bucket over all would have served of the same arrivals. */
   reference: number;
   /** Most runs in a window, as a share of the bound. */
   fullest: number;
-  asks: number;
+  tokenRequests: number;
 }
 
 class Daemon {
-  asker: QuotaAsker;
+  client: QuotaClient;
   owner: QuotaOwner;
   startedAt = 0;
   downUntil = 0;
   frozenUntil = 0;
-  cutUntil = 0;
+  partitionedUntil = 0;
   hosts: QuotaHost[];
   revision = 1;
   limits: QuotaLimits;
@@ -67,36 +67,36 @@
   ) {
     this.hosts = _world.hosts;
     this.limits = _world.limits;
-    this.asker = this._newAsker();
+    this.client = this._createClient();
     this.owner = new QuotaOwner(kSettings, 0);
-    this.owner.mayBeginWithReserve();
+    this.owner.startWithReserve();
   }
 
   restart(now: number, downMs: number): void {
     const before = this.startedAt;
     this.downUntil = now + downMs;
     this.startedAt = this.downUntil;
-    this.asker = this._newAsker();
+    this.client = this._createClient();
     this.owner = new QuotaOwner(kSettings, this.downUntil);
     if (this.startedAt - before > kWindowMs + kRestartMarginMs) {
-      this.owner.mayBeginWithReserve();
+      this.owner.startWithReserve();
     }
   }
 
-  learnHosts(hosts: QuotaHost[]): void {
+  updateHosts(hosts: QuotaHost[]): void {
     this.hosts = hosts;
     this.revision++;
     this.owner.membersChanged(this._world.now);
   }
 
-  grant(): TokenAnswer {
-    const part = this.asker.partOf('w', this.limits, this.at.host);
+  grant(): TokenResponse {
+    const part = this.client.shareOf('w', this.limits, this.at.host);
     return this.owner.take('w', part, this.limits, this.version, this._world.now);
   }
 
-  private _newAsker(): QuotaAsker {
+  private _createClient(): QuotaClient {
     const view = (): Daemon => this;
-    return new QuotaAsker(
+    return new QuotaClient(
       this.at,
       {
         get revision() {
@@ -116,7 +116,7 @@
   hosts: QuotaHost[];
   readonly daemons = new Map<string, Daemon>();
   readonly runs: { at: number; sentAt: number }[] = [];
-  asks = 0;
+  tokenRequests = 0;
   arrivals = 0;
   private _events: { at: number; run: () => void }[] = [];
 
@@ -156,14 +156,15 @@
 
   /** Whether messages get through between two daemons. */
   linked(a: Daemon, b: Daemon): boolean {
-    const up = (daemon: Daemon): boolean => this.now >= daemon.downUntil && this.now >= daemon.cutUntil && this.now >= daemon.frozenUntil;
-    return up(a) && up(b) && (a.at.zone === b.at.zone || (!this.zoneCut(a.at.zone) && !this.zoneCut(b.at.zone)));
+    const up = (daemon: Daemon): boolean =>
+      this.now >= daemon.downUntil && this.now >= daemon.partitionedUntil && this.now >= daemon.frozenUntil;
+    return up(a) && up(b) && (a.at.zone === b.at.zone || (!this.isZonePartitioned(a.at.zone) && !this.isZonePartitioned(b.at.zone)));
   }
 
-  readonly zoneCuts = new Map<string, number>();
+  readonly zonePartitions = new Map<string, number>();
 
-  zoneCut(zone: string): boolean {
-    return this.now < (this.zoneCuts.get(zone) ?? 0);
+  isZonePartitioned(zone: string): boolean {
+    return this.now < (this.zonePartitions.get(zone) ?? 0);
   }
 
   request(daemon: Daemon): void {
@@ -173,7 +174,7 @@
       return;
     }
     const begin = (): void => {
-      const procedure = daemon.asker.take('w', daemon.limits);
+      const procedure = daemon.client.take('w', daemon.limits);
       this._advance(daemon, daemon.startedAt, sentAt, procedure, procedure.next());
     };
     this.after(Math.max(0, daemon.frozenUntil - this.now), begin);
@@ -181,12 +182,12 @@
 
   private _advance(
     daemon: Daemon,
-    life: number,
+    startedAt: number,
     sentAt: number,
-    procedure: Generator<TokenRequest, QuotaEnd, TokenAnswer>,
-    step: IteratorResult<TokenRequest, QuotaEnd>,
+    procedure: Generator<TokenRequest, QuotaResult, TokenResponse>,
+    step: IteratorResult<TokenRequest, QuotaResult>,
   ): void {
-    if (daemon.startedAt !== life) {
+    if (daemon.startedAt !== startedAt) {
       return;
     }
     if (step.done === true) {
@@ -195,29 +196,29 @@
       }
       return;
     }
-    this.asks++;
-    const resume = (answer: TokenAnswer, ms: number): void => {
+    this.tokenRequests++;
+    const resume = (response: TokenResponse, ms: number): void => {
       this.after(Math.max(ms, daemon.frozenUntil - this.now), () => {
-        this._advance(daemon, life, sentAt, procedure, procedure.next(answer));
+        this._advance(daemon, startedAt, sentAt, procedure, procedure.next(response));
       });
     };
-    const owner = this.daemons.get(step.value.part.host);
+    const owner = this.daemons.get(step.value.share.host);
     if (owner === daemon) {
       resume(daemon.grant(), 0);
     } else if (!owner || !this.linked(daemon, owner)) {
-      resume('no_answer', kAnswerMs);
+      resume('no_answer', kResponseTimeoutMs);
     } else {
       const hopMs = owner.at.zone === daemon.at.zone ? 0.5 : 1;
       this.after(hopMs, () => {
         const answer = owner.grant();
         // What was granted and gets lost on its way back has been taken all the same.
-        resume(this.linked(daemon, owner) ? answer : 'no_answer', this.linked(daemon, owner) ? hopMs : kAnswerMs);
+        resume(this.linked(daemon, owner) ? answer : 'no_answer', this.linked(daemon, owner) ? hopMs : kResponseTimeoutMs);
       });
     }
   }
 }
 
-function arrive(world: World, load: Load, done: number[]): void {
+function scheduleArrivals(world: World, load: Load, done: number[]): void {
   const schedule = (): void => {
     const perMs = (load.usualPerSecond * load.times(world.now)) / 1_000;
     world.after(-Math.log(1 - world.random()) / perMs, () => {
@@ -235,22 +236,22 @@
   schedule();
 }
 
-function play(seed: number, load: Load, faults: (world: World) => void = () => undefined): Played & { world: World } {
+function runHistory(seed: number, load: Load, faults: (world: World) => void = () => undefined): HistoryResult & { world: World } {
   const rate = load.usualPerSecond * 1.6;
   const limits = { ratePerSecond: rate, burst: rate };
   const world = new World(seededRandom(seed), limits);
   const arrivals: number[] = [];
-  arrive(world, load, arrivals);
+  scheduleArrivals(world, load, arrivals);
   faults(world);
   world.runUntil(load.untilMs + 1_000);
-  const bucket = new QuotaBucket({ ratePerSecond: rate, capacity: limits.burst, start: limits.burst }, limits.burst, 0);
+  const bucket = new QuotaBucket({ ratePerSecond: rate, capacity: limits.burst, reserve: limits.burst }, limits.burst, 0);
   const reference = arrivals.filter((at) => bucket.take(at).granted).length;
   return {
     arrivals: world.arrivals,
     served: world.runs.length,
     reference,
     fullest: fullestWindow(world.runs, windowBound(limits)),
-    asks: world.asks,
+    tokenRequests: world.tokenRequests,
     world,
   };
 }
@@ -285,9 +286,9 @@
     }
   };
   const kinds: (() => void)[] = [
-    () => world.zoneCuts.set(`z${Math.floor(random() * kZones)}`, world.now + random() * 12_000),
+    () => world.zonePartitions.set(`z${Math.floor(random() * kZones)}`, world.now + random() * 12_000),
     () => {
-      each((daemon) => (daemon.cutUntil = world.now + random() * 12_000), random() * 0.5);
+      each((daemon) => (daemon.partitionedUntil = world.now + random() * 12_000), random() * 0.5);
     },
     () => {
       each((daemon) => (daemon.frozenUntil = world.now + random() * 6_000), random() * 0.3);
@@ -323,20 +324,20 @@
     const daemon = new Daemon(host, world);
     daemon.startedAt = world.now;
     daemon.owner = new QuotaOwner(kSettings, world.now);
-    daemon.owner.mayBeginWithReserve();
+    daemon.owner.startWithReserve();
     world.daemons.set(host.host, daemon);
   }
   const { hosts } = world;
   for (const daemon of world.daemons.values()) {
-    const cut = Math.max(daemon.cutUntil, world.zoneCuts.get(daemon.at.zone) ?? 0, daemon.frozenUntil, daemon.downUntil);
-    world.after(Math.max(cut - world.now, 0) + random() * kToldMs, () => {
-      daemon.learnHosts(hosts);
+    const cut = Math.max(daemon.partitionedUntil, world.zonePartitions.get(daemon.at.zone) ?? 0, daemon.frozenUntil, daemon.downUntil);
+    world.after(Math.max(cut - world.now, 0) + random() * kUpdateMs, () => {
+      daemon.updateHosts(hosts);
     });
   }
 }
 
 /** 3 to 8 times the usual for a part of the time. */
-function hot(random: () => number): (now: number) => number {
+function withBurst(random: () => number): (now: number) => number {
   const from = random() * 10_000;
   const times = 3 + random() * 5;
   return (now) => (now >= from && now < from + 8_000 ? times : 1);
@@ -346,10 +347,10 @@
   for (const usualPerSecond of [1, 10, 100]) {
     it(`should serve ${usualPerSecond} requests a second of a workspace as one bucket would, calm and hot`, (t) => {
       for (let seed = 1; seed <= 3; seed++) {
-        const calm = play(seed, { usualPerSecond, times: () => 1, untilMs: 30_000 });
+        const calm = runHistory(seed, { usualPerSecond, times: () => 1, untilMs: 30_000 });
         t.true(calm.served >= 0.97 * calm.reference, `calm: ${calm.served} of ${calm.reference}, ${calm.arrivals} came`);
         t.true(calm.fullest <= 1);
-        const busy = play(seed, { usualPerSecond, times: (now) => (now > 10_000 && now < 20_000 ? 7.5 : 1), untilMs: 30_000 });
+        const busy = runHistory(seed, { usualPerSecond, times: (now) => (now > 10_000 && now < 20_000 ? 7.5 : 1), untilMs: 30_000 });
         t.true(busy.served >= 0.97 * busy.reference, `hot: ${busy.served} of ${busy.reference}`);
         t.true(busy.fullest <= 1, `fullest window ${busy.fullest}`);
       }
@@ -361,7 +362,7 @@
     let fullest = 0;
     for (let seed = 1; seed <= kHistories; seed++) {
       const usualPerSecond = [1, 3, 10, 30, 100][seed % 5] ?? 1;
-      const played = play(seed, { usualPerSecond, times: hot(seededRandom(seed + 7_000)), untilMs: 20_000 }, (world) => {
+      const played = runHistory(seed, { usualPerSecond, times: withBurst(seededRandom(seed + 7_000)), untilMs: 20_000 }, (world) => {
         randomFaults(world, 20_000);
       });
       fullest = Math.max(fullest, played.fullest);
@@ -375,7 +376,7 @@
       const usualPerSecond = [3, 30, 100][seed % 3] ?? 3;
       const loweredAt = 10_000;
       const lower = { ratePerSecond: usualPerSecond * 0.4, burst: usualPerSecond * 0.4 };
-      const { world } = play(seed, { usualPerSecond, times: () => 4, untilMs: 25_000 }, (started) => {
+      const { world } = runHistory(seed, { usualPerSecond, times: () => 4, untilMs: 25_000 }, (started) => {
         started.after(loweredAt, () => {
           for (const daemon of started.daemons.values()) {
             started.after(started.random() * kApplyMs, () => {
@@ -391,8 +392,8 @@
   });
 
   it('should refuse from memory what is far beyond the quota', (t) => {
-    const { asks, arrivals } = play(1, { usualPerSecond: 100, times: () => 7.5, untilMs: 10_000 });
-    t.true(asks < 2.5 * arrivals, `${asks} questions for ${arrivals} requests`);
-    t.log(`${asks} questions for ${arrivals} requests`);
+    const { tokenRequests, arrivals } = runHistory(1, { usualPerSecond: 100, times: () => 7.5, untilMs: 10_000 });
+    t.true(tokenRequests < 2.5 * arrivals, `${tokenRequests} token requests for ${arrivals} requests`);
+    t.log(`${tokenRequests} token requests for ${arrivals} requests`);
   });
 });
