--- a/packages/core/src/workspaces/credentials.ts
+++ b/packages/core/src/workspaces/credentials.ts
@@ -3,17 +3,17 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Which key a request carries, from the values of its `Authorization` headers. */
+/** Parses the API key of a request from its `Authorization` headers. */
 
-/** `Bearer`, in any case, then white space and one key. */
+/** `Bearer` in any case, white space, and one key. */
 const kBearerPattern = /^bearer[ \t]+([^ \t]+)$/i;
 
-/** The key that a request carries; `unreadable` is one without a readable key, or with two that differ. */
+/** The key of a request; `unreadable` when a header has no valid key, or the headers have different keys. */
 export type PresentedKey = { kind: 'none' } | { kind: 'key'; key: string } | { kind: 'unreadable' };
 
 const kNoKey: PresentedKey = { kind: 'none' };
 
-/** Reads the values of all `Authorization` headers of one request. */
+/** Parses the values of all `Authorization` headers of one request. */
 export function readCredentials(values: readonly string[]): PresentedKey {
   if (values.length === 0) {
     return kNoKey;
--- a/packages/core/src/workspaces/freshness.ts
+++ b/packages/core/src/workspaces/freshness.ts
@@ -4,50 +4,50 @@
  */
 
 /**
- * Until when a daemon may trust that no newer configuration has taken a key away. Only moments of the own monotonic clock are compared:
- * a proof of another daemon counts from the moment at which it was asked for, so one that was held up on its way is old by itself.
+ * Tracks until when a daemon may assume that no newer configuration has revoked a key. Only times of the local monotonic clock are
+ * compared: a proof from another daemon counts from the time of the request for it, so a delay in transit makes it older, never newer.
  */
 
 import type { RevocationSettings } from '@gentiandrum/protocol';
 
-/** Part of the time for a revocation for which a proof is trusted; the rest is for clocks that run at different rates. */
+/** Share of the revocation time for which a proof is trusted. The rest is a margin for clocks that run at different rates. */
 const kTrustedShare = 0.9;
-/** Age from which on a proof is renewed, as shares of that time: from a reader of the own zone, and from anybody. */
+/** Ages at which a proof is renewed, as shares of the trusted time: from readers of the local zone, and from daemons of any zone. */
 const kRenewShare = 0.15;
 const kAnyoneShare = 0.4;
-/** Pause between two requests for a proof, in milliseconds, and while there is none. */
+/** Minimum interval between two requests for a proof, in milliseconds: normally, and while there is no trusted proof. */
 const kRequestIntervalMs = 500;
 const kStaleRequestIntervalMs = 200;
 
-/** That the platform's log had this version as its newest at a moment of the own monotonic clock, in milliseconds. */
+/** Proof that `version` was the newest one in the platform's log at time `at`, in milliseconds of the local monotonic clock. */
 export interface VersionProof {
   at: number;
   version: number;
 }
 
-/** A proof as another daemon sends it: the number of the request that it answers, and how old the proof was when it was sent. */
+/** A proof sent by another daemon: the id of the request that it answers, and the age of the proof when it was sent. */
 export interface ProofReply {
   id: number;
   ageMs: number;
   version: number;
 }
 
-/** Whom to ask for a newer proof: nobody now, the readers of the own zone, or daemons of any zone. */
+/** Where to request a newer proof: nowhere now, from readers of the local zone, or from daemons of any zone. */
 export type ProofScope = 'none' | 'readers' | 'anyone';
 
-/** The proof of one daemon. */
+/** The proof of freshness of one daemon. */
 export class Freshness {
   private _proof: VersionProof | undefined;
-  /** A later one, of a version that is not in force here yet. */
+  /** A proof of a version that is not applied on this daemon yet. */
   private _pendingProof: VersionProof | undefined;
   private _requestedAt = -Infinity;
-  /** Nothing from up to then proves anything any more. */
+  /** Proofs up to this time are invalid. */
   private _notBefore = -Infinity;
-  /** When each request was made, by its number, the oldest first; numbers begin at random, so that none is another life's. */
+  /** Time of each request by its id, oldest first. Ids start at a random number, so that replies to an earlier process do not match. */
   private readonly _requests = new Map<number, number>();
   private _nextId: number;
 
-  /** @param firstId a random number */
+  /** @param firstId a random number, different for each start of the process */
   constructor(
     private readonly _settings: RevocationSettings,
     firstId: number,
@@ -55,7 +55,7 @@
     this._nextId = firstId;
   }
 
-  /** Whether requests with keys need a proof. */
+  /** Whether requests with API keys require a proof. */
   get strict(): boolean {
     return this._settings.strict;
   }
@@ -65,7 +65,7 @@
     return this._settings.withinMs * kTrustedShare;
   }
 
-  /** Takes a proof; `inForce` is the version in force here. */
+  /** Adds a proof; `appliedVersion` is the version applied on this daemon. */
   addProof(proof: VersionProof, appliedVersion: number): void {
     if (proof.at <= this._notBefore) {
       return;
@@ -77,7 +77,7 @@
     }
   }
 
-  /** The host was suspended: all that was proved, or asked for, is older than the steady clock says. */
+  /** Discards all proofs and requests after a suspension of the host, as they are older than the monotonic clock shows. */
   suspended(now: number): void {
     this._proof = undefined;
     this._pendingProof = undefined;
@@ -85,7 +85,7 @@
     this._notBefore = now;
   }
 
-  /** The number of a new request. */
+  /** Records a new request for a proof; returns its id. */
   startRequest(now: number): number {
     const id = this._nextId++;
     this._requests.set(id, now);
@@ -97,7 +97,7 @@
     return id;
   }
 
-  /** Takes the answer of another daemon; one to a request that this daemon did not make, or made too long ago, proves nothing. */
+  /** Adds the reply of another daemon. Replies to unknown or expired requests are ignored. */
   addReply({ id, ageMs, version }: ProofReply, appliedVersion: number): void {
     const requestedAt = this._requests.get(id);
     if (requestedAt !== undefined && ageMs >= 0) {
@@ -105,7 +105,7 @@
     }
   }
 
-  /** A version came into force: what proves it counts from now on. */
+  /** Activates the pending proof once its version is applied. */
   versionApplied(version: number): void {
     if (this._pendingProof && this._pendingProof.version <= version) {
       this._proof = laterProof(this._proof, this._pendingProof);
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Whether nothing has been proved since a suspension. */
+  /** Whether there is no proof yet since a suspension. */
   get awaitingProof(): boolean {
     return this.strict && this._notBefore > -Infinity && this._proof === undefined;
   }
@@ -123,7 +123,7 @@
     return this._proof === undefined ? Infinity : now - this._proof.at;
   }
 
-  /** Until when requests with keys may be let in: without a proof never, always where revocation is not strict. */
+  /** Time until which requests with API keys may be admitted: `-Infinity` without a proof, `Infinity` when revocation is not strict. */
   get validUntil(): number {
     if (!this.strict) {
       return Infinity;
@@ -131,7 +131,7 @@
     return this._proof === undefined ? -Infinity : this._proof.at + this.trustedMs;
   }
 
-  /** The answer to a request; undefined when this daemon has no proof of use. */
+  /** The reply to a request of another daemon; undefined when this daemon has no trusted proof. */
   createReply(id: number, now: number): ProofReply | undefined {
     const proof = this._proof;
     if (!proof || now - proof.at >= this.trustedMs) {
@@ -140,7 +140,7 @@
     return { id, ageMs: now - proof.at, version: proof.version };
   }
 
-  /** Whom to ask now; counts as done. A daemon that reads the log by itself asks only when that does not do. */
+  /** Where to request a proof now; unless `none`, it counts as requested. Readers wait longer, as their reads renew the proof. */
   nextRequestScope(now: number, isReader: boolean): ProofScope {
     const age = this.ageMs(now);
     const renewAge = this.trustedMs * (isReader ? kAnyoneShare : kRenewShare);
--- a/packages/core/src/workspaces/quotaBucket.ts
+++ b/packages/core/src/workspaces/quotaBucket.ts
@@ -3,26 +3,26 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Bucket of one part of a quota: filled at its rate up to its capacity, a whole token for each request. */
+/** Token bucket for one share of a quota: refilled at its rate up to its capacity; each request takes one token. */
 
 import type { ShareLimits } from './quotaShares.js';
 
 const kMsPerSecond = 1_000;
-/** Share of the capacity up to which future tokens are named to refused askers. */
+/** Share of the capacity up to which future tokens are promised to refused clients. */
 const kPromisedShare = 0.5;
-/** Longest wait that a bucket without a rate names, in milliseconds. */
+/** Maximum wait that a refused client is told, in milliseconds. */
 const kMaxWaitMs = 60_000;
 
-/** Answer to a request for a token: granted, or when there will be one. */
+/** Result of a request for a token: granted, or the time until the client should retry. */
 export type TokenResult = { granted: true } | { granted: false; waitMs: number };
 
-/** One bucket. Times are on the monotonic clock, in milliseconds. */
+/** Token bucket. Times are in milliseconds of the monotonic clock. */
 export class QuotaBucket {
   private _tokens: number;
-  /** When the token comes that was named to the last refused asker. */
+  /** Time of the token that was promised to the last refused client. */
   private _promisedAt = -Infinity;
 
-  /** @param start tokens to begin with */
+  /** @param start initial number of tokens */
   constructor(
     private _limits: ShareLimits,
     start: number,
@@ -31,12 +31,12 @@
     this._tokens = Math.min(start, _limits.capacity);
   }
 
-  /** When it was last used. */
+  /** Time of the last operation on the bucket. */
   get lastUsedAt(): number {
     return this._refilledAt;
   }
 
-  /** Follows new limits at once: what is above a lower capacity is gone. */
+  /** Applies new limits at once; tokens above a lower capacity are lost. */
   setLimits(limits: ShareLimits, now: number): void {
     this._refill(now);
     this._limits = limits;
@@ -53,16 +53,15 @@
     return { granted: false, waitMs: this._nextWaitMs(now) };
   }
 
-  /** Takes back tokens of requests that have not run. */
+  /** Returns the tokens of requests that did not run, up to the capacity. */
   returnTokens(count: number, now: number): void {
     this._refill(now);
     this._tokens = Math.min(this._limits.capacity, this._tokens + count);
   }
 
   /**
-   * Each refused asker is told the next free token, so that those of a workspace far beyond its quota don't all ask again for the same
-   * one: 1.5 questions a request in place of 6.7 at 7.5 times the usual (`tests/workspaces`). Never for longer than half the bucket
-   * takes to fill, or tokens would be lost.
+   * Promises each refused client the next free token, so that clients of a workspace far above its quota do not all retry for the same one.
+   * Promises reach at most half of the time to fill the bucket into the future; beyond that, tokens could remain unused.
    */
   private _nextWaitMs(now: number): number {
     const { ratePerSecond, capacity } = this._limits;
--- a/packages/core/src/workspaces/quotaClient.ts
+++ b/packages/core/src/workspaces/quotaClient.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Takes tokens of workspaces' quotas for the requests that enter at one daemon: asks the owners of the parts one after the other, those of
- * the own zone first, and leaves out those that said when they will have one, or that did not answer.
+ * Takes quota tokens for the requests that enter on one daemon. Queries the owners of a quota's shares one after the other, those of the
+ * local zone first, and skips owners that are known to be out of tokens or that did not respond.
  */
 
 import type { QuotaSettings } from '@gentiandrum/protocol';
@@ -13,36 +13,35 @@
 import type { GrantResult } from './quotaOwner.js';
 import { divideQuota, type HashedHost, type QuotaHost, type QuotaLimits, type QuotaShare, hashHosts } from './quotaShares.js';
 
-/** Time for which an owner that did not answer is left out, in milliseconds: as long as a lost link takes to be noticed. */
+/** Time for which an owner that did not respond is skipped, in milliseconds; about the time to detect a lost link. */
 const kExclusionMs = 1_000;
-/** Owners without an answer that one request waits for. */
+/** Number of unresponsive owners after which a request queries no further ones. */
 const kMaxUnanswered = 2;
-/** Time after which an owner that knows of no part of its own is asked again, in milliseconds: records get around in that time. */
+/** Time until a host that did not consider itself an owner is queried again, in milliseconds; host records propagate in that time. */
 const kNotOwnerRetryMs = 200;
-/** Shortest time after which a caller may come back, in milliseconds: a whole one of those that headers tell, and some. */
+/** Minimum retry delay for callers, in milliseconds. */
 const kMinRetryMs = 10;
-/** Workspaces whose division is held; beyond them all begin anew, at 0.2 ms each with 490 hosts. */
+/** Number of cached divisions at which the cache is cleared. */
 const kMaxDivisions = 2_000;
-/** Time after which a caller may come back when owners could not be asked, in milliseconds. */
+/** Retry delay for callers while owners cannot be queried, in milliseconds. */
 const kUnknownRetryMs = 300;
 
-/** One question to the owner of a part. */
+/** A request for a token to the owner of a share. */
 export interface TokenRequest {
   workspace: string;
   share: QuotaShare;
 }
 
-/** How an owner answered. */
 export type TokenResponse = GrantResult | 'no_answer';
 
-/** What became of a request's token. `part` is where it goes back to when the request does not run. */
+/** Result of taking a token. The token is returned to the owner of `share` when the request does not run. */
 export type QuotaResult =
   | { kind: 'granted'; share: QuotaShare }
   | { kind: 'over_quota'; retryAfterMs: number }
-  /** Some owner could not be asked, so it isn't known whether the quota is used up. */
+  /** An owner could not be queried, so it is unknown whether the quota is exhausted. */
   | { kind: 'quota_unknown'; retryAfterMs: number };
 
-/** Hosts that quotas are divided over, and a number that changes with them. */
+/** Hosts that share quotas; `revision` changes whenever they do. */
 export interface QuotaMembers {
   readonly revision: number;
   hosts(): readonly QuotaHost[];
@@ -50,19 +49,19 @@
 
 interface QuotaDivision {
   burst: number;
-  /** In the order in which they are asked. */
+  /** Shares in the order in which their owners are queried. */
   order: readonly QuotaShare[];
-  /** When owners without a token will have one again, by host. */
+  /** Times at which owners without a token will have one again, by host. */
   emptyUntil: Map<string, number>;
 }
 
-/** Asker of one daemon. Times are on the monotonic clock, in milliseconds. */
+/** Quota client of one daemon. Times are in milliseconds of the monotonic clock. */
 export class QuotaClient {
   private readonly _divisions = new Map<string, QuotaDivision>();
   private _revision = -1;
   private _hosts: readonly HashedHost[] = [];
   private readonly _excludedUntil = new Map<string, number>();
-  /** Where this daemon begins among the owners of its zone, so that they get equal shares of the demand. */
+  /** Offset at which this daemon starts among the owners, so that all owners get a similar load. */
   private readonly _rotation: number;
 
   constructor(
@@ -74,12 +73,12 @@
     this._rotation = hashText(_self.host);
   }
 
-  /** The part of a workspace's quota that a host owns. */
+  /** The share of a workspace's quota that a host owns; undefined when it owns none. */
   shareOf(workspace: string, limits: QuotaLimits, host: string): QuotaShare | undefined {
     return this._divide(workspace, limits).order.find((share) => share.host === host);
   }
 
-  /** Takes one token; driven with the owners' answers. */
+  /** Takes one token. The caller sends each yielded request and resumes the generator with the response. */
   *take(workspace: string, limits: QuotaLimits): Generator<TokenRequest, QuotaResult, TokenResponse> {
     const { order, emptyUntil } = this._divide(workspace, limits);
     let unanswered = 0;
@@ -111,7 +110,7 @@
       : { kind: 'over_quota', retryAfterMs };
   }
 
-  /** An owner can be reached again, or can't. */
+  /** Records whether a host is reachable. */
   setReachable(host: string, reachable: boolean): void {
     if (reachable) {
       this._excludedUntil.delete(host);
@@ -138,7 +137,7 @@
     return division;
   }
 
-  /** State is held for workspaces in use. */
+  /** Clears the cache when the hosts changed or it is full, so that it holds workspaces in use. */
   private _evictStale(): void {
     if (this._revision !== this._members.revision || this._divisions.size >= kMaxDivisions) {
       this._revision = this._members.revision;
@@ -147,7 +146,7 @@
     }
   }
 
-  /** The own part first, as it needs no message, then those of the zone, then others. */
+  /** Orders shares: the local one first, as it needs no message, then those of the local zone, then others. */
   private _order(shares: readonly QuotaShare[]): QuotaShare[] {
     const sameZone = shares.filter(({ zone }) => zone === this._self.zone);
     const otherZones = shares.filter(({ zone }) => zone !== this._self.zone);
--- a/packages/core/src/workspaces/quotaOwner.ts
+++ b/packages/core/src/workspaces/quotaOwner.ts
@@ -3,16 +3,16 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The parts of quotas that one daemon owns: grants tokens to the daemons where requests enter. State is held for workspaces in use. */
+/** Grants tokens of the quota shares that one daemon owns to the daemons where requests enter. Keeps state only for workspaces in use. */
 
 import type { QuotaSettings } from '@gentiandrum/protocol';
 import { QuotaBucket, type TokenResult } from './quotaBucket.js';
 import { shareLimits, type ShareLimits, type QuotaLimits, type QuotaShare } from './quotaShares.js';
 
-/** Time without use after which a bucket is dropped, in windows; it would be as full as one that begins anew. */
+/** Idle time after which a bucket is evicted, in windows; it is as full as a new one by then. */
 const kIdleWindows = 12;
 
-/** Answer of an owner; `not_owner` when this daemon has no part in the quota, as far as it knows. */
+/** Response of an owner; `not_owner` when this daemon has no share of the quota according to its known hosts. */
 export type GrantResult = TokenResult | 'not_owner';
 
 interface OwnedShare {
@@ -21,7 +21,7 @@
   share: QuotaShare;
 }
 
-/** The owned parts of one daemon. */
+/** The quota shares owned by one daemon. */
 export class QuotaOwner {
   private readonly _owned = new Map<string, OwnedShare>();
   private _initialFill: 'nothing' | 'reserve' | 'capacity' = 'nothing';
@@ -36,30 +36,30 @@
     this._evictedAt = now;
   }
 
-  /** Workspaces that a bucket is held for. */
+  /** Number of workspaces with a bucket. */
   get size(): number {
     return this._owned.size;
   }
 
   /**
-   * The daemon's predecessor on this host did not start within the last window, or there was none: parts begin with their reserve, which
-   * is there for one start of all daemons in a window. Until this is known they begin with nothing.
+   * Fills new buckets with their reserve, which covers one start of all daemons per window. Called when no earlier daemon on this host
+   * started within the last window; until then new buckets are empty.
    */
   startWithReserve(): void {
     this._initialFill = 'reserve';
   }
 
-  /** The whole deployment starts for the first time: nobody has used anything yet. */
+  /** Fills new buckets to their capacity. Called on the initial start of the deployment, when no tokens have been used. */
   startFull(): void {
     this._initialFill = 'capacity';
   }
 
-  /** Hosts joined or left: parts that this daemon has not used since may have been another's until now. */
+  /** Records that hosts joined or left: another daemon may have owned the shares of buckets created after this, up to `now`. */
   membersChanged(now: number): void {
     this._membersSince = now;
   }
 
-  /** Takes a token of a workspace's part; `limits` are those of configuration `version`. */
+  /** Takes a token of a workspace's share; `limits` are those of configuration `version`. */
   take(workspace: string, share: QuotaShare | undefined, limits: QuotaLimits, version: number, now: number): GrantResult {
     if (!share) {
       this._owned.delete(workspace);
@@ -69,7 +69,7 @@
     return this._bucketOf(workspace, share, limits, version, now).take(now);
   }
 
-  /** Takes back tokens of requests that have not run. */
+  /** Returns the tokens of requests that did not run. */
   returnTokens(workspace: string, count: number, now: number): void {
     this._owned.get(workspace)?.bucket.returnTokens(count, now);
   }
@@ -86,7 +86,7 @@
     return bucket;
   }
 
-  /** Filled since it can have been nobody else's. */
+  /** Creates a bucket that refills from the last change of hosts, as another daemon may have owned the share before it. */
   private _createBucket(limits: ShareLimits): QuotaBucket {
     return new QuotaBucket(limits, this._initialTokens(limits), this._membersSince);
   }
--- a/packages/core/src/workspaces/quotaShares.ts
+++ b/packages/core/src/workspaces/quotaShares.ts
@@ -4,57 +4,57 @@
  */
 
 /**
- * Divides the quota of a workspace into parts with one owner each. Every daemon works the owners out by itself from the hosts' records,
- * so nothing has to be agreed on, and the parts sum to no more than the whole whoever is cut off, frozen or dead.
+ * Divides the quota of a workspace into shares with one owner each. Every daemon computes the owners from the host records without
+ * coordination. The shares never exceed the quota in total, regardless of which daemons are partitioned, paused or down.
  */
 
 import type { QuotaSettings } from '@gentiandrum/protocol';
 import { hashPair, hashText } from '../util/hashText.js';
 
-/** Owners of a workspace in one zone: with one owner lost, two thirds of the zone's part stay of use. */
+/** Number of owners per workspace and zone: with one owner down, two thirds of the zone's share remain usable. */
 const kOwnersPerZone = 3;
-/** Most parts in all: each should hold more than one whole request of the smallest workspaces. */
+/** Maximum number of shares per quota. */
 const kMaxShares = 12;
-/** Shares of the slack that the parts' capacity takes, and what parts begin with. The rest is for hosts that join and leave. */
+/** Proportions of the slack that go into capacity and reserve. The rest covers hosts that join and leave. */
 const kCapacitySlack = 0.45;
 const kReserveSlack = 0.45;
-/** Share of the overage that parts begin with. */
+/** Proportion of the overage that goes into the reserve. */
 const kReserveOverage = 0.5;
 
-/** A host that can own parts. */
+/** A host that can own shares. */
 export interface QuotaHost {
   host: string;
   zone: string;
 }
 
-/** The same, with the hash of its name: worked out once for all workspaces. */
+/** A host with the hash of its name, computed once for all workspaces. */
 export interface HashedHost extends QuotaHost {
   hash: number;
 }
 
-/** Limits of a workspace. */
+/** Quota of a workspace; `burst` is in requests. */
 export interface QuotaLimits {
   ratePerSecond: number;
   burst: number;
 }
 
-/** One part of a quota. */
+/** A share of a quota; `host` is its owner. */
 export interface QuotaShare {
   host: string;
   zone: string;
-  /** Share of the whole. */
+  /** Fraction of the quota, above 0 and at most 1. */
   fraction: number;
 }
 
-/** Limits of one part, in requests. */
+/** Limits of one share, in requests. */
 export interface ShareLimits {
   ratePerSecond: number;
   capacity: number;
-  /** What it begins with. */
+  /** Initial tokens of a bucket that starts with its reserve. */
   reserve: number;
 }
 
-/** Limits of a part with a share of the whole; their sum over all parts is the bound less what is kept for joins and leavings. */
+/** Limits of a share with the given fraction. Their total over all shares leaves a margin for hosts that join and leave. */
 export function shareLimits({ ratePerSecond, burst }: QuotaLimits, fraction: number, settings: QuotaSettings): ShareLimits {
   const perWindow = ratePerSecond * settings.windowSeconds + burst;
   const capacity = fraction * (burst + kCapacitySlack * settings.slack);
@@ -62,7 +62,7 @@
   return { ratePerSecond: ratePerSecond * fraction, capacity, reserve: Math.min(capacity, reserve) };
 }
 
-/** The parts of a workspace's quota, by rendezvous over the hosts known, in the order of their owners' rank. */
+/** Divides a workspace's quota over the known hosts by rendezvous hashing. */
 export function divideQuota(workspace: string, hosts: readonly HashedHost[], limits: QuotaLimits, settings: QuotaSettings): QuotaShare[] {
   const ranked = rankHosts(workspace, hosts);
   const zones = new Map<string, QuotaHost[]>();
@@ -85,19 +85,18 @@
   });
 }
 
-/** By falling weight. Nothing of it is held: weights of 490 hosts for 5,000 workspaces would take more memory than a daemon has. */
+/** Ranks hosts by descending weight. The result is not cached, as it would need memory for every pair of host and workspace. */
 function rankHosts(workspace: string, hosts: readonly HashedHost[]): QuotaHost[] {
   const hash = hashText(workspace);
   const weighted = hosts.map((host) => ({ host, weight: hashPair(hash, host.hash) }));
   return weighted.sort((a, b) => b.weight - a.weight).map(({ host }) => host);
 }
 
-/** Hosts with the hashes of their names. */
 export function hashHosts(hosts: readonly QuotaHost[]): HashedHost[] {
   return hosts.map(({ host, zone }) => ({ host, zone, hash: hashText(host) }));
 }
 
-/** Each part should hold a whole request. */
+/** Maximum number of shares such that the capacity of each holds at least one request. */
 function maxShares({ burst }: QuotaLimits, { slack }: QuotaSettings): number {
   return Math.max(1, Math.min(kMaxShares, Math.floor(burst + kCapacitySlack * slack)));
 }
--- a/packages/core/src/workspaces/workspaceTable.ts
+++ b/packages/core/src/workspaces/workspaceTable.ts
@@ -3,12 +3,12 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Finds the workspace that a key belongs to, in one configuration. */
+/** Maps API keys to workspaces for one configuration. */
 
 import type { MeshConfig, Workspace } from '@gentiandrum/protocol';
 import { hashText } from '../util/hashText.js';
 
-/** Hexadecimal digits of a key's hash in log lines: enough to tell two keys apart, too few to find one. */
+/** Number of hexadecimal digits of a key's hash in log lines: enough to tell keys apart, too few to recover one. */
 const kLoggedDigits = 4;
 
 interface KeyEntry {
@@ -16,9 +16,9 @@
   workspace: Workspace;
 }
 
-/** The workspaces of one configuration. A look-up costs the same with ten keys and with ten thousand. */
+/** The workspaces of one configuration. The cost of a look-up does not depend on the number of keys. */
 export class WorkspaceTable {
-  /** Whether requests need a key, but for those on exempt routes. */
+  /** Whether requests need a key, except on exempt routes. */
   readonly required: boolean;
   private readonly _byName = new Map<string, Workspace>();
   private readonly _byHash = new Map<number, KeyEntry[]>();
@@ -33,22 +33,21 @@
     }
   }
 
-  /** The workspace that holds a key. */
+  /** The workspace of a key; undefined when the key is unknown. */
   find(key: string): Workspace | undefined {
     return this._byHash.get(hashText(key))?.find((entry) => equalInConstantTime(entry.key, key))?.workspace;
   }
 
-  /** The workspace of a name. */
   get(name: string): Workspace | undefined {
     return this._byName.get(name);
   }
 
-  /** Whether a workspace holds a key of this hash. */
+  /** Whether a workspace has a key with this hash. */
   hasKey(workspace: string, keyHash: number): boolean {
     return this._byHash.get(keyHash)?.some((entry) => entry.workspace.name === workspace) ?? false;
   }
 
-  /** A key in two workspaces is the first one's, as at every other daemon. */
+  /** A key that occurs in two workspaces belongs to the first one, on every daemon. */
   private _addKey(key: string, workspace: Workspace): void {
     const hash = hashText(key);
     const entries = this._byHash.get(hash) ?? [];
@@ -58,17 +57,17 @@
   }
 }
 
-/** What daemons tell each other of a key, in place of the key. */
+/** Hash that daemons exchange in place of a key. */
 export function keyHash(key: string): number {
   return hashText(key);
 }
 
-/** What a log line says of a key. */
+/** Abbreviated hash of a key for log lines. */
 export function loggedKeyHash(key: string): string {
   return hashText(key).toString(16).padStart(8, '0').slice(0, kLoggedDigits);
 }
 
-/** Compares in a time that does not tell where two texts of one length differ. */
+/** Compares in a time that does not depend on where two strings of equal length differ. */
 function equalInConstantTime(a: string, b: string): boolean {
   if (a.length !== b.length) {
     return false;
--- a/tests/workspaces/admitRequest.spec.ts
+++ b/tests/workspaces/admitRequest.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The way of a request in: the order of its checks, and a workspace that sends many times its usual while the rest is busy. */
+/** Admission of external requests. Guards against a wrong order of checks, and against effects of one overloaded workspace on others. */
 
 import {
   type AdmitSurroundings,
@@ -65,15 +65,15 @@
   const procedure = admitRequest({ host: 'app', path: '/read/1', presented: { kind: 'none' }, ...req }, surroundings(recorded, changed));
   const step = procedure.next();
   if (step.done !== true) {
-    throw new Error('expected no question');
+    throw new Error('expected no token request');
   }
   return { end: step.value, recorded };
 }
 
 const kCrew = { presented: { kind: 'key', key: 'k-crew' } } as const;
 
-describe('the way of a request in', () => {
-  it('should end in one outcome for each reason, and take a token only when all else is well', (t) => {
+describe('the admission of a request', () => {
+  it('should return one outcome per reason, and take a token only after all other checks', (t) => {
     const cases: [EntryEnd['kind'], Partial<ArrivedRequest>, Partial<AdmitSurroundings>?][] = [
       ['no_configuration', kCrew, { tables: () => undefined }],
       ['no_route', { ...kCrew, path: '/none/' }],
@@ -104,18 +104,18 @@
     t.is(new Set(ranks).size, 4);
   });
 
-  it('should name the workspace of a request that is shed, so that its token goes back', (t) => {
+  it('should return the workspace of a shed request, so that its token is returned', (t) => {
     const { end } = enter(kCrew, { sheds: () => true });
     t.is(end.kind === 'shed' ? end.workspace?.token?.host : undefined, 'h');
   });
 });
 
-describe('a workspace at eight times its usual, while a third of the load is too much', () => {
+describe('a workspace at eight times its usual load, while a third of all load is excess', () => {
   const kUsual = 20;
   const kSeconds = 60;
   const kLevel = 0.33;
 
-  /** Shares of requests that are let in, by workspace; `hot` sends eight times its usual. */
+  /** Shares of admitted requests; with `hot`, one workspace sends eight times its usual load. */
   function runLoad(hot: boolean): { hot: number; others: number; rejected: number } {
     const random = seededRandom(3);
     const admission = new RootAdmission();
@@ -149,17 +149,17 @@
     return { hot: shareOf([of]), others: shareOf(others), rejected: of.over / of.came };
   }
 
-  it('should cost the others nothing, as what is over its quota is refused before it counts as load', (t) => {
+  it('should not affect others, as requests above its quota are refused before they count as load', (t) => {
     const calm = runLoad(false);
     const rush = runLoad(true);
-    t.true(Math.abs(rush.others - calm.others) < 0.02, `${calm.others} let in before, ${rush.others} beside it`);
+    t.true(Math.abs(rush.others - calm.others) < 0.02, `${calm.others} admitted before, ${rush.others} during the overload`);
     t.true(rush.rejected > 0.5);
-    t.true(rush.hot > 0.1, 'it is still served what it is owed');
+    t.true(rush.hot > 0.1, 'it still gets its quota');
   });
 });
 
 describe('a full gate', () => {
-  it('should shed the less urgent first, also one that came first, and never a call of a target for a person’s request', (t) => {
+  it('should shed the less urgent first, even if it arrived earlier, and never an internal call for an external request', (t) => {
     const refused: number[] = [];
     const gate = new SlotGate({ onStart: () => undefined, onRefuse: ({ id }) => refused.push(id) });
     gate.open(1, 0);
--- a/tests/workspaces/freshness.spec.ts
+++ b/tests/workspaces/freshness.spec.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Proofs of freshness under faults that try to make an old one look new. Each history is also played with a naive proof, which counts an
- * answer from its arrival, to show that the fault would be found.
+ * Proofs of freshness under faults that could make an old proof look new. Each history also tracks a naive proof, which counts a reply from
+ * its arrival, to check that the faults would be detected.
  */
 
 import { Freshness, type ProofReply, seededRandom } from '@gentiandrum/core';
@@ -24,11 +24,11 @@
   to: number;
   from: number;
   kind: { type: 'wanted'; id: number } | { type: 'proof'; reply: ProofReply };
-  /** Life of the receiver that it was meant for: links end with it. */
+  /** Generation of the receiver when the message was sent. */
   generation: number;
 }
 
-/** A daemon with a clock of its own: monotonic, begins anywhere, and may start again. */
+/** A daemon with its own monotonic clock, which restarts with the daemon. */
 class Daemon {
   freshness: Freshness;
   naiveProofAt = -Infinity;
@@ -46,7 +46,7 @@
     this.freshness = new Freshness(kSettings, Math.floor(_random() * 1e9));
   }
 
-  /** The own monotonic clock: it begins with the process, and goes on while that is frozen. */
+  /** The local monotonic clock: starts with the process, and continues while the process is frozen. */
   clock(now: number): number {
     return now - this._origin;
   }
@@ -60,15 +60,15 @@
 }
 
 interface HistoryResult {
-  /** Requests that were let in with a key that had been taken away too long before, by the real proof and by the naive one. */
+  /** Number of times a key was accepted too long after its revocation: by the real proof and by the naive one. */
   stale: number;
   naiveStale: number;
-  /** Shares of the moments at daemons in touch at which requests are let in. */
+  /** Number of samples on unaffected daemons at which requests are admitted, out of `moments`. */
   open: number;
   moments: number;
 }
 
-/** One history: a log that some daemons read, and messages that are delayed, repeated, held up and lost. */
+/** Runs one history: some daemons read the log, and messages are delayed, duplicated, stalled and lost. */
 function runHistory(seed: number, faulty: boolean): HistoryResult {
   const random = seededRandom(seed);
   const daemons = Array.from({ length: kDaemons }, () => new Daemon(random, -Math.floor(random() * 100_000)));
@@ -126,7 +126,7 @@
           send({ to: message.from, from: message.to, kind: { type: 'proof', reply } }, now);
         }
       } else {
-        // Also replies of an earlier life: a link that outlives its process would be the worst case.
+        // Replies to an earlier generation are delivered too, as the worst case of a link that outlives its process.
         const { reply } = message.kind;
         if (reply.version > daemon.version && random() < 0.7) {
           daemon.version = reply.version;
@@ -172,8 +172,8 @@
   }
 }
 
-describe('proof of freshness', () => {
-  it('should let no revoked key in too late, whatever is held up, repeated, frozen, cut or started again', (t) => {
+describe('a proof of freshness', () => {
+  it('should never accept a revoked key too late under stalls, duplicates, freezes, partitions and restarts', (t) => {
     let wrong = 0;
     let naiveWrong = 0;
     for (let seed = 1; seed <= kHistories; seed++) {
@@ -182,17 +182,17 @@
       naiveWrong += judged.naiveStale > 0 ? 1 : 0;
     }
     t.is(wrong, 0);
-    t.true(naiveWrong > kHistories / 10, `the naive proof was fooled in ${naiveWrong} of ${kHistories} histories`);
+    t.true(naiveWrong > kHistories / 10, `the naive proof failed in ${naiveWrong} of ${kHistories} histories`);
   });
 
-  it('should be there all the time while nothing fails', (t) => {
+  it('should always be available without faults', (t) => {
     for (let seed = 1; seed <= 5; seed++) {
       const { open, moments } = runHistory(seed, false);
       t.is(open, moments);
     }
   });
 
-  it('should count an answer from its question, and only one to a question of this life', (t) => {
+  it('should count a reply from its request, and ignore replies to requests of an earlier process', (t) => {
     const freshness = new Freshness(kSettings, 7);
     const id = freshness.startRequest(10_000);
     freshness.addReply({ id, ageMs: 1_000, version: 3 }, 3);
@@ -205,7 +205,7 @@
     t.is(restarted.ageMs(100), Infinity);
   });
 
-  it('should not take the proof of a version that is not in force here, until it is', (t) => {
+  it('should not use the proof of a version until that is applied', (t) => {
     const freshness = new Freshness(kSettings, 0);
     freshness.addProof({ at: 100, version: 5 }, 4);
     t.is(freshness.validUntil, -Infinity);
@@ -213,7 +213,7 @@
     t.is(freshness.ageMs(200), 100);
   });
 
-  it('should prove a newer version than the proven one, and need nothing where revocation is not strict', (t) => {
+  it('should accept a proof of an older version than the applied one, and need none when revocation is not strict', (t) => {
     const freshness = new Freshness(kSettings, 0);
     freshness.addProof({ at: 100, version: 4 }, 6);
     t.is(freshness.ageMs(200), 100);
@@ -222,7 +222,7 @@
     t.is(lenient.nextRequestScope(1e9, false), 'none');
   });
 
-  it('should be told to nobody once it is too old to be of use', (t) => {
+  it('should not be sent once it is too old', (t) => {
     const freshness = new Freshness(kSettings, 0);
     freshness.addProof({ at: 0, version: 1 }, 1);
     t.deepEqual(freshness.createReply(9, 1_000), { id: 9, ageMs: 1_000, version: 1 });
@@ -231,7 +231,7 @@
 });
 
 describe('a proof across a suspension', () => {
-  it('should be none: what was proved, asked for or read before has aged by more than the steady clock says', (t) => {
+  it('should be invalid: earlier proofs, requests and reads are older than the monotonic clock shows', (t) => {
     const freshness = new Freshness(kSettings, 1);
     freshness.addProof({ at: 1_000, version: 1 }, 1);
     const id = freshness.startRequest(1_100);
--- a/tests/workspaces/keys.spec.ts
+++ b/tests/workspaces/keys.spec.ts
@@ -13,13 +13,13 @@
 }
 
 describe('credentials of a request', () => {
-  it('should be one key behind its scheme, however that is spelt', (t) => {
+  it('should be one key after the scheme, in any case', (t) => {
     for (const value of ['Bearer k1', 'bearer k1', 'BEARER  k1', '  Bearer\tk1 ']) {
       t.deepEqual(readCredentials([value]), { kind: 'key', key: 'k1' }, value);
     }
   });
 
-  it('should be nobody’s when there is no readable key, or two that differ', (t) => {
+  it('should be unreadable without a valid key, or with different keys', (t) => {
     t.deepEqual(readCredentials([]), { kind: 'none' });
     for (const values of [
       [''],
@@ -37,8 +37,8 @@
   });
 });
 
-describe('table of workspaces', () => {
-  it('should find the workspace of each key, and none for others', (t) => {
+describe('a workspace table', () => {
+  it('should find the workspace of each key, and none for unknown keys', (t) => {
     const keys = fc.uniqueArray(fc.string({ minLength: 1 }), { minLength: 2, maxLength: 30 });
     fc.assert(
       fc.property(keys, ([unknown = '', ...held]) => {
@@ -52,7 +52,7 @@
     );
   });
 
-  it('should give a key that stands twice to the first, as every daemon does, and call it a fault', (t) => {
+  it('should assign a duplicate key to the first workspace, and report it as a fault', (t) => {
     const workspaces = [workspace('a', 'k1', 'k1'), workspace('b', 'k1', 'k2')];
     const table = new WorkspaceTable({ workspaces });
     t.is(table.find('k1')?.name, 'a');
@@ -61,18 +61,18 @@
     t.deepEqual(workspaceFaults({ workspaces }), ['workspaces.1.keys.0: expected a key of one workspace, got one that a has too']);
   });
 
-  it('should ask for keys only where there are workspaces', (t) => {
+  it('should require keys only when workspaces are configured', (t) => {
     t.false(new WorkspaceTable({ workspaces: undefined }).required);
     t.true(new WorkspaceTable({ workspaces: [] }).required);
   });
 
-  it('should tell next to nothing of a key in a log line', (t) => {
+  it('should reveal only an abbreviated hash of a key in log lines', (t) => {
     const key = 'ix6iwjgbt3rrdb9xz77s';
     t.regex(loggedKeyHash(key), /^[0-9a-f]{4}$/);
     t.not(loggedKeyHash(key), loggedKeyHash('3y7a3rmfy673vp95baib'));
   });
 
-  it('should look at no more keys with ten thousand than with ten', (t) => {
+  it('should compare at most two keys per look-up with ten thousand keys', (t) => {
     const hashes = new Map<number, number>();
     for (let i = 0; i < 10_000; i++) {
       const hash = keyHash(`key-${i}`);
--- a/tests/workspaces/quotas.spec.ts
+++ b/tests/workspaces/quotas.spec.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Quotas over many daemons: seeded histories of cuts, kills, freezes, joins, leavings and lowered limits over the real decision objects.
- * No network; the bound is checked over every window, and what is served is compared with one bucket over all.
+ * Quotas over many daemons: seeded histories of partitions, restarts, freezes, host changes and lowered limits, with a simulated network.
+ * Guards against more runs in any window than the bound allows, and against fewer served requests than with a single bucket.
  */
 
 import {
@@ -26,15 +26,15 @@
 const kZones = 5;
 const kDaemons = 60;
 const kResponseTimeoutMs = 100;
-/** Time in which members of the fleet hear of a change, and of a version, when nothing fails, in milliseconds. */
+/** Maximum time until daemons receive a change of hosts, and until they apply a version, without faults, in milliseconds. */
 const kUpdateMs = 300;
 const kApplyMs = 2_500;
-/** Margin of the wall clock when a daemon judges how long ago its predecessor started, in milliseconds. */
+/** Margin for the wall clock in the time since the previous start of a daemon, in milliseconds. */
 const kRestartMarginMs = 1_000;
 
 interface Load {
   usualPerSecond: number;
-  /** Multiple of the usual load as time goes, in milliseconds. */
+  /** Multiple of the usual load at a time in milliseconds. */
   times: (now: number) => number;
   untilMs: number;
 }
@@ -42,9 +42,9 @@
 interface HistoryResult {
   arrivals: number;
   served: number;
-  /** What one bucket over all would have served of the same arrivals. */
+  /** Requests that a single bucket would have served of the same arrivals. */
   reference: number;
-  /** Most runs in a window, as a share of the bound. */
+  /** Maximum number of runs in a window, as a share of the bound. */
   fullest: number;
   tokenRequests: number;
 }
@@ -110,7 +110,7 @@
   }
 }
 
-/** Events in the order of their times. */
+/** Discrete-event simulation of the fleet. */
 class World {
   now = 0;
   hosts: QuotaHost[];
@@ -154,7 +154,7 @@
     this.now = end;
   }
 
-  /** Whether messages get through between two daemons. */
+  /** Whether messages are delivered between two daemons. */
   linked(a: Daemon, b: Daemon): boolean {
     const up = (daemon: Daemon): boolean =>
       this.now >= daemon.downUntil && this.now >= daemon.partitionedUntil && this.now >= daemon.frozenUntil;
@@ -211,7 +211,7 @@
       const hopMs = owner.at.zone === daemon.at.zone ? 0.5 : 1;
       this.after(hopMs, () => {
         const answer = owner.grant();
-        // What was granted and gets lost on its way back has been taken all the same.
+        // A granted token stays taken even if the response is lost.
         resume(this.linked(daemon, owner) ? answer : 'no_answer', this.linked(daemon, owner) ? hopMs : kResponseTimeoutMs);
       });
     }
@@ -256,12 +256,12 @@
   };
 }
 
-/** What may run in any window, over all daemons together. */
+/** Maximum number of runs in any window, over all daemons. */
 function windowBound({ ratePerSecond, burst }: QuotaLimits): number {
   return (ratePerSecond * kSettings.windowSeconds + burst) * (1 + kSettings.overage) + kSettings.slack;
 }
 
-/** Most runs that were both sent and begun in one window, as a share of a bound. */
+/** Maximum number of runs that were both sent and started in one window, as a share of `bound`. */
 function fullestWindow(runs: readonly { at: number; sentAt: number }[], bound: number, fromMs = 0): number {
   const sorted = runs.filter(({ sentAt }) => sentAt >= fromMs).sort((a, b) => a.at - b.at);
   let most = 0;
@@ -275,7 +275,7 @@
   return most / bound;
 }
 
-/** Every kind of fault, several times, at any moment. */
+/** Schedules faults of all kinds at random times. */
 function randomFaults(world: World, untilMs: number): void {
   const { random } = world;
   const each = (run: (daemon: Daemon) => void, share: number): void => {
@@ -313,7 +313,7 @@
   }
 }
 
-/** A tenth of the hosts is replaced by new ones; those that are cut off hear of it when they are back. */
+/** Replaces a tenth of the hosts with new ones. Unreachable daemons receive the change when they are back. */
 function changeHosts(world: World): void {
   const { random } = world;
   const leaving = new Set(world.hosts.filter(() => random() < 0.1).map(({ host }) => host));
@@ -336,7 +336,7 @@
   }
 }
 
-/** 3 to 8 times the usual for a part of the time. */
+/** Raises the load to 3 to 8 times the usual for eight seconds. */
 function withBurst(random: () => number): (now: number) => number {
   const from = random() * 10_000;
   const times = 3 + random() * 5;
@@ -345,10 +345,10 @@
 
 describe('quotas over all daemons', () => {
   for (const usualPerSecond of [1, 10, 100]) {
-    it(`should serve ${usualPerSecond} requests a second of a workspace as one bucket would, calm and hot`, (t) => {
+    it(`should serve ${usualPerSecond} requests a second of a workspace like a single bucket would, at usual load and in a burst`, (t) => {
       for (let seed = 1; seed <= 3; seed++) {
         const calm = runHistory(seed, { usualPerSecond, times: () => 1, untilMs: 30_000 });
-        t.true(calm.served >= 0.97 * calm.reference, `calm: ${calm.served} of ${calm.reference}, ${calm.arrivals} came`);
+        t.true(calm.served >= 0.97 * calm.reference, `calm: ${calm.served} of ${calm.reference}, ${calm.arrivals} arrived`);
         t.true(calm.fullest <= 1);
         const busy = runHistory(seed, { usualPerSecond, times: (now) => (now > 10_000 && now < 20_000 ? 7.5 : 1), untilMs: 30_000 });
         t.true(busy.served >= 0.97 * busy.reference, `hot: ${busy.served} of ${busy.reference}`);
@@ -357,7 +357,7 @@
     });
   }
 
-  it('should never pass the bound in any window, through histories of every fault', (t) => {
+  it('should never exceed the bound in any window, under faults of all kinds', (t) => {
     const kHistories = 300;
     let fullest = 0;
     for (let seed = 1; seed <= kHistories; seed++) {
@@ -371,7 +371,7 @@
     t.log(`fullest window of ${kHistories} histories: ${fullest.toFixed(3)} of the bound`);
   });
 
-  it('should follow a lowered quota, one window after it is in force everywhere', (t) => {
+  it('should respect a lowered quota one window after all daemons have applied it', (t) => {
     for (let seed = 1; seed <= 40; seed++) {
       const usualPerSecond = [3, 30, 100][seed % 3] ?? 3;
       const loweredAt = 10_000;
@@ -391,7 +391,7 @@
     }
   });
 
-  it('should refuse from memory what is far beyond the quota', (t) => {
+  it('should query few owners per request far above the quota', (t) => {
     const { tokenRequests, arrivals } = runHistory(1, { usualPerSecond: 100, times: () => 7.5, untilMs: 10_000 });
     t.true(tokenRequests < 2.5 * arrivals, `${tokenRequests} token requests for ${arrivals} requests`);
     t.log(`${tokenRequests} token requests for ${arrivals} requests`);
