--- a/tests/workspaces/admitRequest.spec.ts
+++ b/tests/workspaces/admitRequest.spec.ts
@@ -120,7 +120,7 @@
     const random = seededRandom(3);
     const admission = new RootAdmission();
     const buckets = new Map<string, QuotaBucket>();
-    const counts = new Map<string, { came: number; in: number; over: number }>();
+    const counts = new Map<string, { arrived: number; admitted: number; overQuota: number }>();
     for (let now = 0; now < kSeconds * 1_000; now += 1) {
       for (const name of ['w0', 'w1', 'w2', 'w3', 'w4']) {
         const rate = kUsual * (hot && name === 'w0' ? 8 : 1);
@@ -130,31 +130,34 @@
         const limits = { ratePerSecond: kUsual * 1.6, capacity: kUsual * 1.6, reserve: 0 };
         const bucket = buckets.get(name) ?? new QuotaBucket(limits, kUsual, now);
         buckets.set(name, bucket);
-        const count = counts.get(name) ?? { came: 0, in: 0, over: 0 };
+        const count = counts.get(name) ?? { arrived: 0, admitted: 0, overQuota: 0 };
         counts.set(name, count);
-        count.came++;
+        count.arrived++;
         if (!bucket.take(now).granted) {
-          count.over++;
+          count.overQuota++;
         } else if (admission.admits(1_000, kLevel, random(), now)) {
-          count.in++;
+          count.admitted++;
         } else {
           bucket.returnTokens(1, now);
         }
       }
     }
     const others = [...counts].filter(([name]) => name !== 'w0').map(([, count]) => count);
-    const shareOf = (list: { came: number; in: number }[]): number =>
-      list.reduce((sum, count) => sum + count.in, 0) / list.reduce((sum, count) => sum + count.came, 0);
-    const of = counts.get('w0') ?? { came: 1, in: 0, over: 0 };
-    return { hot: shareOf([of]), others: shareOf(others), rejected: of.over / of.came };
+    const admittedShare = (list: { arrived: number; admitted: number }[]): number =>
+      list.reduce((sum, count) => sum + count.admitted, 0) / list.reduce((sum, count) => sum + count.arrived, 0);
+    const overloaded = counts.get('w0') ?? { arrived: 1, admitted: 0, overQuota: 0 };
+    return { hot: admittedShare([overloaded]), others: admittedShare(others), rejected: overloaded.overQuota / overloaded.arrived };
   }
 
   it('should not affect others, as requests above its quota are refused before they count as load', (t) => {
-    const calm = runLoad(false);
-    const rush = runLoad(true);
-    t.true(Math.abs(rush.others - calm.others) < 0.02, `${calm.others} admitted before, ${rush.others} during the overload`);
-    t.true(rush.rejected > 0.5);
-    t.true(rush.hot > 0.1, 'it still gets its quota');
+    const baseline = runLoad(false);
+    const overload = runLoad(true);
+    t.true(
+      Math.abs(overload.others - baseline.others) < 0.02,
+      `${baseline.others} admitted before, ${overload.others} during the overload`,
+    );
+    t.true(overload.rejected > 0.5);
+    t.true(overload.hot > 0.1, 'it still gets its quota');
   });
 });
 
--- a/tests/workspaces/keys.spec.ts
+++ b/tests/workspaces/keys.spec.ts
@@ -41,9 +41,9 @@
   it('should find the workspace of each key, and none for unknown keys', (t) => {
     const keys = fc.uniqueArray(fc.string({ minLength: 1 }), { minLength: 2, maxLength: 30 });
     fc.assert(
-      fc.property(keys, ([unknown = '', ...held]) => {
-        const table = new WorkspaceTable({ workspaces: held.map((key, i) => workspace(`w${i}`, key)) });
-        held.forEach((key, i) => {
+      fc.property(keys, ([unknown = '', ...assigned]) => {
+        const table = new WorkspaceTable({ workspaces: assigned.map((key, i) => workspace(`w${i}`, key)) });
+        assigned.forEach((key, i) => {
           t.is(table.find(key)?.name, `w${i}`);
           t.true(table.hasKey(`w${i}`, keyHash(key)));
         });
--- a/tests/workspaces/quotas.spec.ts
+++ b/tests/workspaces/quotas.spec.ts
@@ -90,8 +90,8 @@
   }
 
   grant(): TokenResponse {
-    const part = this.client.shareOf('w', this.limits, this.at.host);
-    return this.owner.take('w', part, this.limits, this.version, this._world.now);
+    const share = this.client.shareOf('w', this.limits, this.at.host);
+    return this.owner.take('w', share, this.limits, this.version, this._world.now);
   }
 
   private _createClient(): QuotaClient {
