--- a/packages/core/src/procedures/callContext.ts
+++ b/packages/core/src/procedures/callContext.ts
@@ -10,7 +10,7 @@
 import type { RootFilter } from '../admission/rootFilter.js';
 import type { RetryLedger } from '../chain/retryLedger.js';
 import type { RetryTokenBucket } from '../chain/retryTokenBucket.js';
-import type { AnswerStore } from '../claims/answerStore.js';
+import type { ResponseStore } from '../claims/responseStore.js';
 import type { ClaimIndex } from '../claims/claimIndex.js';
 import type { KeySettler } from '../claims/keySettler.js';
 import type { NamedClass } from '../routing/classifier.js';
@@ -81,12 +81,12 @@
   /** Targets of a service that take no work now, and may again. */
   absent: (service: string) => number;
   /** Kinds of calls that targets may have ended by. */
-  suspects: Pick<Suspects, 'assess' | 'quietMs' | 'learn'>;
+  suspects: Pick<Suspects, 'assess' | 'msSinceUpdate' | 'mergeFromCall'>;
   picker: TargetPicker;
   rootFilter: RootFilter;
   ledger: RetryLedger;
   retryRatio: (service: string) => RetryTokenBucket;
-  answers: AnswerStore;
+  answers: ResponseStore;
   settler: KeySettler;
   /** Shard of a key; `relay` is the address of the daemon that batches for it, when that is another. */
   claimShard: (key: string) => { shard: number; index: ClaimIndex; relay?: string };
--- a/packages/core/src/quarantine/suspectGate.ts
+++ b/packages/core/src/quarantine/suspectGate.ts
@@ -3,105 +3,104 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stands before the gate of one target: lets suspects through one at a time, and notes what each run says of its kind. */
+/** Runs ahead of the admission gate of one target: serializes suspect requests and records the result of each run for its fingerprint. */
 
 import type { RequestIdentity } from './requestFingerprint.js';
-import { SuspectLane } from './suspectLane.js';
+import { SuspectQueue } from './suspectQueue.js';
 import type { Suspects } from './suspects.js';
 import type { Crash } from './suspectTable.js';
 import type { Suspicion } from './suspicion.js';
 
-/** A call as far as suspects are concerned. */
+/** The properties of a call that the suspect gate uses. */
 export interface SuspectCall {
-  /** What tells its kind; asked only when something is known of any. */
+  /** Returns the fingerprinted parts; called only while any suspicion is known. */
   readonly identity: () => RequestIdentity;
   readonly route: string;
-  /** What its ingress knows of its kind; undefined when it holds nothing against it. */
+  /** The suspicion that the ingress attached; undefined when it knows of none. */
   readonly suspicion: Suspicion | undefined;
-  /** Time up to which it may wait, on the monotonic clock. */
+  /** Deadline for waiting, in milliseconds of the monotonic clock. */
   waitUntil: number;
 }
 
-/** Why a suspect is refused: it can't be tried here now, or its kind does not run. */
+/** Why a suspect is refused: it cannot run on this target now, or its fingerprint is quarantined. */
 export type SuspectRefusal = 'suspected' | 'quarantined';
 
-/** What is to be done with a call. */
 export type SuspectDecision = { kind: 'pass' } | { kind: 'wait' } | { kind: 'refused'; reason: SuspectRefusal };
 
-/** What the gate tells its surroundings of calls that waited. */
+/** Callbacks of the gate. `onPass` and `onRefuse` report calls that waited. */
 export interface SuspectGateEvents<T extends SuspectCall> {
   onPass(call: T): void;
   onRefuse(call: T, reason: SuspectRefusal): void;
-  /** Whether this is the target where a kind is tried, as far as is known here. */
-  isTrialTarget(fingerprint: string, call: T): boolean;
+  /** Whether this target is the one that probes the fingerprint, according to the local target directory. */
+  isProbeTarget(fingerprint: string, call: T): boolean;
 }
 
-/** A run that its target did not survive. */
-export interface EndedRun<T extends SuspectCall> {
+/** A call that was in flight when its target crashed. */
+export interface InFlightCall<T extends SuspectCall> {
   identity: RequestIdentity;
   route: string;
-  /** The call, unless it was over before: a caller that leaves does not end the run. */
+  /** Undefined when the call was over before the crash: a run continues after its caller disconnects. */
   call: T | undefined;
 }
 
-interface Suspect<T extends SuspectCall> {
+interface SuspectEntry<T extends SuspectCall> {
   call: T;
   fingerprint: string;
 }
 
 const kPass: SuspectDecision = { kind: 'pass' };
 
-/** The suspects at one target. */
+/** Suspect requests at one target. */
 export class SuspectGate<T extends SuspectCall> {
-  private readonly _lane: SuspectLane<Suspect<T>>;
-  private readonly _suspects = new Map<T, Suspect<T>>();
+  private readonly _queue: SuspectQueue<SuspectEntry<T>>;
+  private readonly _suspectCalls = new Map<T, SuspectEntry<T>>();
 
   constructor(
-    private readonly _known: Suspects,
+    private readonly _suspects: Suspects,
     private readonly _events: SuspectGateEvents<T>,
   ) {
-    this._lane = new SuspectLane((fingerprint) => _known.verdict(fingerprint));
+    this._queue = new SuspectQueue((fingerprint) => _suspects.verdict(fingerprint));
   }
 
-  /** Calls that wait for other suspects to end. */
+  /** Number of calls that wait for other suspects to finish. */
   get waiting(): number {
-    return this._lane.waiting.length;
+    return this._queue.waiting.length;
   }
 
-  /** Decides on a call that came. One that passes or waits is to be reported with {@link leave} when it is over. */
+  /** Decides on an arriving call. The caller must report each call that passes or waits with {@link leave} when it is over. */
   offer(call: T): SuspectDecision {
     const { suspicion } = call;
     if (suspicion) {
-      this._known.learn(suspicion);
+      this._suspects.mergeFromCall(suspicion);
     }
-    const assessed = this._known.assess(call.identity);
+    const assessed = this._suspects.assess(call.identity);
     if (!assessed || assessed.verdict === 'clear') {
       return kPass;
     }
     const { suspicion: known, verdict } = assessed;
     if (verdict === 'quarantined' || !suspicion) {
-      // Its ingress does not know, and may have sent it to another target than the other daemons do.
-      this._known.remind(known);
+      // An ingress without the current suspicion may have chosen another target than the other daemons, so send the suspicion to them.
+      this._suspects.rebroadcast(known);
       return { kind: 'refused', reason: verdict === 'quarantined' ? verdict : 'suspected' };
     }
-    if (verdict === 'trial' && !this._events.isTrialTarget(known.fingerprint, call)) {
-      // Its ingress knows fewer targets, or more; two trials at once could end two.
+    if (verdict === 'trial' && !this._events.isProbeTarget(known.fingerprint, call)) {
+      // The ingress has a different view of the ready targets. Two probes at once could crash two targets.
       return { kind: 'refused', reason: 'suspected' };
     }
     const suspect = { call, fingerprint: known.fingerprint };
-    this._suspects.set(call, suspect);
-    return this._lane.enter(suspect) ? kPass : { kind: 'wait' };
+    this._suspectCalls.set(call, suspect);
+    return this._queue.enter(suspect) ? kPass : { kind: 'wait' };
   }
 
-  /** A call is over, whether it ran or not: others that waited for it may go on. */
+  /** Removes a call that is over, whether it ran or not, and starts or refuses the calls that waited for it. */
   leave(call: T): void {
-    const suspect = this._suspects.get(call);
+    const suspect = this._suspectCalls.get(call);
     if (!suspect) {
       return;
     }
-    this._suspects.delete(call);
-    for (const next of this._lane.leave(suspect)) {
-      if (this._known.verdict(next.fingerprint) === 'quarantined') {
+    this._suspectCalls.delete(call);
+    for (const next of this._queue.leave(suspect)) {
+      if (this._suspects.verdict(next.fingerprint) === 'quarantined') {
         this._refuse(next.call, 'quarantined');
       } else {
         this._events.onPass(next.call);
@@ -109,50 +108,50 @@
     }
   }
 
-  /** Takes back a call that waits; false when it doesn't. */
+  /** Removes a waiting call; false when it is not waiting. */
   withdraw(call: T): boolean {
-    const waits = this._lane.waiting.some((suspect) => suspect.call === call);
-    if (waits) {
+    const isWaiting = this._queue.waiting.some((suspect) => suspect.call === call);
+    if (isWaiting) {
       this.leave(call);
     }
-    return waits;
+    return isWaiting;
   }
 
-  /** Takes out all that wait. */
+  /** Removes and returns all waiting calls. */
   drain(): T[] {
-    const calls = this._lane.drain().map(({ call }) => call);
+    const calls = this._queue.drain().map(({ call }) => call);
     for (const call of calls) {
-      this._suspects.delete(call);
+      this._suspectCalls.delete(call);
     }
     return calls;
   }
 
-  /** Refuses those that have waited for long enough; called a few times a second or more. */
+  /** Refuses waiting calls whose `waitUntil` has passed; called several times a second. */
   expire(now: number): void {
-    for (const { call } of this._lane.waiting.filter((suspect) => suspect.call.waitUntil <= now)) {
+    for (const { call } of this._queue.waiting.filter((suspect) => suspect.call.waitUntil <= now)) {
       this._refuse(call, 'suspected');
     }
   }
 
-  /** A request ran to its end, which speaks for its kind: one that ends its targets never does. */
+  /** Clears the fingerprint of a call that ran to completion, as a request that crashes its target never does. */
   completed(call: T): void {
-    const assessed = this._known.assess(call.identity);
+    const assessed = this._suspects.assess(call.identity);
     if (assessed) {
-      this._known.completed(assessed.suspicion.fingerprint);
+      this._suspects.completed(assessed.suspicion.fingerprint);
     }
   }
 
-  /** The target ended while these ran. */
-  crashed(crash: Crash, runs: readonly EndedRun<T>[]): void {
-    this._known.crashed(
+  /** Records a crash of the target with the calls that were in flight. */
+  crashed(crash: Crash, inFlight: readonly InFlightCall<T>[]): void {
+    this._suspects.crashed(
       crash,
-      runs.map(({ identity, route, call }) => ({ identity, route, tested: this._isOnTrial(call) })),
+      inFlight.map(({ identity, route, call }) => ({ identity, route, tested: this._isProbe(call) })),
     );
   }
 
-  private _isOnTrial(call: T | undefined): boolean {
-    const suspect = call && this._suspects.get(call);
-    return suspect !== undefined && this._lane.isOnTrial(suspect);
+  private _isProbe(call: T | undefined): boolean {
+    const suspect = call && this._suspectCalls.get(call);
+    return suspect !== undefined && this._queue.isProbe(suspect);
   }
 
   private _refuse(call: T, reason: SuspectRefusal): void {
--- a/packages/core/src/quarantine/suspectTable.ts
+++ b/packages/core/src/quarantine/suspectTable.ts
@@ -4,85 +4,85 @@
  */
 
 /**
- * Kinds of requests that ran on targets while those ended, as one daemon knows them. A target that ends takes dozens of requests with
- * it, of which one is guilty at most: all are suspects, and each that runs to its end somewhere is cleared.
+ * Table of the suspicions that one daemon knows. All requests in flight when a target crashes become suspects, as at most one of them
+ * caused the crash; a fingerprint is cleared when a request with it completes on any host.
  */
 
 import { monotonicMs } from '../util/clock.js';
 import { fingerprintOf, type RequestIdentity, screenOf } from './requestFingerprint.js';
-import { type CrashMark, crashesOf, isProved, kMaxCrashes, mergeMarks, type Suspicion, type Verdict, verdictOf } from './suspicion.js';
-
-/** Kinds that are known at once. */
-const kMaxKinds = 1_000;
-/** Time after which nothing is held any more against a kind that no end was proved of, in milliseconds. */
-const kForgetMs = 60 * 60_000;
-/** Time after which a kind that is held back is tried once more, in milliseconds; doubles with each further end. */
-const kFirstHoldMs = 60 * 60_000;
+import { type CrashMark, crashesOf, isConfirmed, kMaxCrashes, mergeMarks, type Suspicion, type Verdict, verdictOf } from './suspicion.js';
+
+/** Maximum number of fingerprints in the table. */
+const kMaxFingerprints = 1_000;
+/** Time after the last change at which a fingerprint that is not quarantined expires, in milliseconds. */
+const kExpiryMs = 60 * 60_000;
+/** Time until a quarantined fingerprint is probed again, in milliseconds; doubles with each further crash. */
+const kFirstQuarantineMs = 60 * 60_000;
 /**
- * The same for a kind that has not been on trial, in milliseconds: copies of it ran on three targets that ended together, which a
- * lookup that many share may have done too.
+ * Time until a quarantined fingerprint without a crash during a probe is probed, in milliseconds. It is short, as a common request can be
+ * in flight on several targets that crash together for another reason.
  */
-const kUnprovedHoldMs = 30_000;
-/** Further ends that such trials may cost; after these only an operator lets the kind run. */
-const kMaxFurtherCrashes = 3;
+const kUnconfirmedQuarantineMs = 30_000;
+/** Crashes after quarantine at which probing stops; from then on only an operator can release the fingerprint. */
+const kMaxProbeFailures = 3;
 
-/** The end of one incarnation of a target. */
+/** A crash of one incarnation of a target. */
 export interface Crash {
-  /** Names the incarnation, the same in every report of its end. */
+  /** Identifies the incarnation; the same in every report of its crash. */
   id: number;
-  /** In milliseconds of the wall clock. */
+  /** Time of the crash in milliseconds of the wall clock. */
   at: number;
 }
 
-/** A request that ran on a target when that ended. */
-export interface CrashedRun {
+/** A request that was in flight when its target crashed. */
+export interface InFlightRequest {
   identity: RequestIdentity;
   route: string;
-  /** Whether it was the only suspect on trial there. */
+  /** Whether it was the probe running on that target. */
   tested: boolean;
 }
 
 interface Entry {
   suspicion: Suspicion;
-  /** When it last changed here, on the monotonic clock. */
+  /** Time of the last change in this table, in milliseconds of the monotonic clock. */
   changedAt: number;
 }
 
-/** The suspects that one daemon knows. */
+/** The suspicions known to one daemon, by fingerprint. */
 export class SuspectTable {
   private readonly _entries = new Map<string, Entry>();
-  /** Kinds by their screen: of one screen there may be several, which differ in their bodies. */
-  private readonly _screens = new Map<number, number>();
+  /** Number of entries per screen. Fingerprints that differ only in the content of the body share a screen. */
+  private readonly _countByScreen = new Map<number, number>();
 
-  /** Kinds that are known, cleared ones too. */
+  /** Number of known fingerprints, including cleared ones. */
   get size(): number {
     return this._entries.size;
   }
 
-  /** What is known of a request's kind; undefined when nothing is. Costs nothing while no target has ended. */
+  /** The suspicion against a request; undefined when there is none. Computes no hash while the table is empty. */
   find(identity: RequestIdentity): Suspicion | undefined {
-    if (this._entries.size === 0 || !this._screens.has(screenOf(identity))) {
+    if (this._entries.size === 0 || !this._countByScreen.has(screenOf(identity))) {
       return undefined;
     }
     return this._entries.get(fingerprintOf(identity))?.suspicion;
   }
 
-  /** What follows for the next request of a kind as of now. */
+  /** The current verdict on a fingerprint: a quarantine that has expired becomes a probe. */
   verdict(fingerprint: string): Verdict {
     const entry = this._entries.get(fingerprint);
     if (!entry) {
       return 'clear';
     }
     const verdict = verdictOf(entry.suspicion);
-    return verdict === 'quarantined' && this._holdEnded(entry) ? 'trial' : verdict;
+    return verdict === 'quarantined' && this._quarantineExpired(entry) ? 'trial' : verdict;
   }
 
-  /** Time since something was last learned of a kind, in milliseconds. */
-  quietMs(fingerprint: string): number {
+  /** Time since the suspicion last changed, in milliseconds; infinite for an unknown fingerprint. */
+  msSinceUpdate(fingerprint: string): number {
     return monotonicMs() - (this._entries.get(fingerprint)?.changedAt ?? -Infinity);
   }
 
-  /** All kinds that something is held against, the gravest first. */
+  /** All suspicions with crashes that count, most crashes first. */
   list(): Suspicion[] {
     return [...this._entries.values()]
       .map(({ suspicion }) => suspicion)
@@ -90,70 +90,70 @@
       .sort((a, b) => crashesOf(b) - crashesOf(a));
   }
 
-  /** Notes the end of a target; returns what others should know. */
-  crashed(crash: Crash, runs: readonly CrashedRun[]): Suspicion[] {
-    return this.merge(runs.map((run) => suspicionFrom(crash, run)));
+  /** Records a crash; returns the changed suspicions. */
+  crashed(crash: Crash, inFlight: readonly InFlightRequest[]): Suspicion[] {
+    return this.merge(inFlight.map((request) => suspicionFrom(crash, request)));
   }
 
-  /** Notes that a request of a known kind ran to its end; returns what others should know. */
+  /** Clears a fingerprint after a request with it completed, and releases it when quarantined; returns the changed suspicions. */
   completed(fingerprint: string): Suspicion[] {
-    const held = this._entries.has(fingerprint) && this._isHeld(fingerprint);
-    return this._change(fingerprint, (mark) => ({ ...mark, cleared: true, released: mark.released || held }));
+    const wasQuarantined = this._entries.has(fingerprint) && this._isQuarantined(fingerprint);
+    return this._updateMarks(fingerprint, (mark) => ({ ...mark, cleared: true, released: mark.released || wasQuarantined }));
   }
 
-  /** Lets a kind run again; returns what others should know, nothing when it isn't known. */
+  /** Releases a fingerprint; returns the changed suspicions, none when it is unknown or already released. */
   release(fingerprint: string): Suspicion[] {
-    return this._change(fingerprint, (mark) => ({ ...mark, released: true }));
+    return this._updateMarks(fingerprint, (mark) => ({ ...mark, released: true }));
   }
 
-  /** Takes what others know; returns what was new in it. */
-  merge(told: readonly Suspicion[]): Suspicion[] {
+  /** Merges suspicions; returns those that changed. */
+  merge(received: readonly Suspicion[]): Suspicion[] {
     const changed: Suspicion[] = [];
-    for (const suspicion of told) {
+    for (const suspicion of received) {
       const known = this._entries.get(suspicion.fingerprint)?.suspicion;
       const marks = mergeMarks(known?.marks ?? [], suspicion.marks);
       if (marks) {
         changed.push(this._set({ ...(known ?? suspicion), marks }));
       }
     }
-    this._forgetSome();
+    this._evictSurplus();
     return changed;
   }
 
-  /** Forgets what is old; called now and then. */
+  /** Removes expired entries; called periodically. */
   prune(): void {
-    const before = monotonicMs() - kForgetMs;
+    const expiredBefore = monotonicMs() - kExpiryMs;
     for (const [fingerprint, { changedAt }] of this._entries) {
-      if (changedAt < before && !this._isHeld(fingerprint)) {
+      if (changedAt < expiredBefore && !this._isQuarantined(fingerprint)) {
         this._delete(fingerprint);
       }
     }
   }
 
-  private _change(fingerprint: string, change: (mark: CrashMark) => CrashMark): Suspicion[] {
+  private _updateMarks(fingerprint: string, update: (mark: CrashMark) => CrashMark): Suspicion[] {
     const known = this._entries.get(fingerprint)?.suspicion;
-    return known ? this.merge([{ ...known, marks: known.marks.map(change) }]) : [];
+    return known ? this.merge([{ ...known, marks: known.marks.map(update) }]) : [];
   }
 
-  private _isHeld(fingerprint: string): boolean {
+  private _isQuarantined(fingerprint: string): boolean {
     const entry = this._entries.get(fingerprint);
     return entry !== undefined && verdictOf(entry.suspicion) === 'quarantined';
   }
 
-  private _holdEnded({ suspicion, changedAt }: Entry): boolean {
-    if (!isProved(suspicion)) {
-      return monotonicMs() - changedAt > kUnprovedHoldMs;
+  private _quarantineExpired({ suspicion, changedAt }: Entry): boolean {
+    if (!isConfirmed(suspicion)) {
+      return monotonicMs() - changedAt > kUnconfirmedQuarantineMs;
     }
-    const further = crashesOf(suspicion) - kMaxCrashes;
-    return further < kMaxFurtherCrashes && monotonicMs() - changedAt > kFirstHoldMs * 2 ** Math.max(0, further);
+    const furtherCrashes = crashesOf(suspicion) - kMaxCrashes;
+    return furtherCrashes < kMaxProbeFailures && monotonicMs() - changedAt > kFirstQuarantineMs * 2 ** Math.max(0, furtherCrashes);
   }
 
   private _set(suspicion: Suspicion): Suspicion {
     const { fingerprint, screen } = suspicion;
     if (!this._entries.delete(fingerprint)) {
-      this._screens.set(screen, (this._screens.get(screen) ?? 0) + 1);
+      this._countByScreen.set(screen, (this._countByScreen.get(screen) ?? 0) + 1);
     }
-    // Set anew, so that the order is that of the latest changes.
+    // The entry was deleted above, so this moves it to the end: the map is ordered by last change.
     this._entries.set(fingerprint, { suspicion, changedAt: monotonicMs() });
     return suspicion;
   }
@@ -164,17 +164,17 @@
       return;
     }
     this._entries.delete(fingerprint);
-    const left = (this._screens.get(screen) ?? 0) - 1;
-    if (left > 0) {
-      this._screens.set(screen, left);
+    const remaining = (this._countByScreen.get(screen) ?? 0) - 1;
+    if (remaining > 0) {
+      this._countByScreen.set(screen, remaining);
     } else {
-      this._screens.delete(screen);
+      this._countByScreen.delete(screen);
     }
   }
 
-  /** Keeps the table small: what least is held against goes first, and of that the oldest. */
-  private _forgetSome(): void {
-    const surplus = this._entries.size - kMaxKinds;
+  /** Evicts entries above the capacity: those with the fewest crashes first, then the least recently changed. */
+  private _evictSurplus(): void {
+    const surplus = this._entries.size - kMaxFingerprints;
     if (surplus <= 0) {
       return;
     }
@@ -188,7 +188,7 @@
   }
 }
 
-function suspicionFrom({ id, at }: Crash, { identity, route, tested }: CrashedRun): Suspicion {
+function suspicionFrom({ id, at }: Crash, { identity, route, tested }: InFlightRequest): Suspicion {
   return {
     fingerprint: fingerprintOf(identity),
     screen: screenOf(identity),
--- a/packages/core/src/workspaces/quotaBucket.ts
+++ b/packages/core/src/workspaces/quotaBucket.ts
@@ -3,82 +3,81 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Bucket of one part of a quota: filled at its rate up to its capacity, a whole token for each request. */
+/** Token bucket for one share of a quota: refilled at its rate up to its capacity; each request takes one token. */
 
-import type { PartLimits } from './quotaParts.js';
+import type { ShareLimits } from './quotaShares.js';
 
 const kMsPerSecond = 1_000;
-/** Share of the capacity up to which future tokens are named to refused askers. */
+/** Share of the capacity up to which future tokens are promised to refused clients. */
 const kPromisedShare = 0.5;
-/** Longest wait that a bucket without a rate names, in milliseconds. */
-const kNeverMs = 60_000;
+/** Maximum wait that a refused client is told, in milliseconds. */
+const kMaxWaitMs = 60_000;
 
-/** Answer to a request for a token: granted, or when there will be one. */
-export type TokenEnd = { granted: true } | { granted: false; waitMs: number };
+/** Result of a request for a token: granted, or the time until the client should retry. */
+export type TokenResult = { granted: true } | { granted: false; waitMs: number };
 
-/** One bucket. Times are on the monotonic clock, in milliseconds. */
+/** Token bucket. Times are in milliseconds of the monotonic clock. */
 export class QuotaBucket {
   private _tokens: number;
-  /** When the token comes that was named to the last refused asker. */
+  /** Time of the token that was promised to the last refused client. */
   private _promisedAt = -Infinity;
 
-  /** @param start tokens to begin with */
+  /** @param start initial number of tokens */
   constructor(
-    private _limits: PartLimits,
+    private _limits: ShareLimits,
     start: number,
-    private _filledAt: number,
+    private _refilledAt: number,
   ) {
     this._tokens = Math.min(start, _limits.capacity);
   }
 
-  /** When it was last used. */
-  get usedAt(): number {
-    return this._filledAt;
+  /** Time of the last operation on the bucket. */
+  get lastUsedAt(): number {
+    return this._refilledAt;
   }
 
-  /** Follows new limits at once: what is above a lower capacity is gone. */
-  limit(limits: PartLimits, now: number): void {
-    this._fill(now);
+  /** Applies new limits at once; tokens above a lower capacity are lost. */
+  setLimits(limits: ShareLimits, now: number): void {
+    this._refill(now);
     this._limits = limits;
     this._tokens = Math.min(this._tokens, limits.capacity);
   }
 
   /** Takes one token. */
-  take(now: number): TokenEnd {
-    this._fill(now);
+  take(now: number): TokenResult {
+    this._refill(now);
     if (this._tokens >= 1) {
       this._tokens--;
       return { granted: true };
     }
-    return { granted: false, waitMs: this._promise(now) };
+    return { granted: false, waitMs: this._nextWaitMs(now) };
   }
 
-  /** Takes back tokens of requests that have not run. */
-  giveBack(count: number, now: number): void {
-    this._fill(now);
+  /** Returns the tokens of requests that did not run, up to the capacity. */
+  returnTokens(count: number, now: number): void {
+    this._refill(now);
     this._tokens = Math.min(this._limits.capacity, this._tokens + count);
   }
 
   /**
-   * Each refused asker is told the next free token, so that those of a workspace far beyond its quota don't all ask again for the same
-   * one: 1.5 questions a request in place of 6.7 at 7.5 times the usual (`tests/workspaces`). Never for longer than half the bucket
-   * takes to fill, or tokens would be lost.
+   * Promises each refused client the next free token, so that clients of a workspace far above its quota do not all retry for the same one.
+   * Promises reach at most half of the time to fill the bucket into the future; beyond that, tokens could remain unused.
    */
-  private _promise(now: number): number {
+  private _nextWaitMs(now: number): number {
     const { ratePerSecond, capacity } = this._limits;
     if (ratePerSecond <= 0) {
-      return kNeverMs;
+      return kMaxWaitMs;
     }
     const tokenMs = kMsPerSecond / ratePerSecond;
     const firstAt = now + (1 - this._tokens) * tokenMs;
     const latestAt = Math.max(firstAt, now + kPromisedShare * capacity * tokenMs);
     this._promisedAt = Math.min(latestAt, Math.max(firstAt, this._promisedAt + tokenMs));
-    return Math.min(kNeverMs, this._promisedAt - now);
+    return Math.min(kMaxWaitMs, this._promisedAt - now);
   }
 
-  private _fill(now: number): void {
-    const filled = (this._limits.ratePerSecond * Math.max(0, now - this._filledAt)) / kMsPerSecond;
-    this._tokens = Math.min(this._limits.capacity, this._tokens + filled);
-    this._filledAt = now;
+  private _refill(now: number): void {
+    const refill = (this._limits.ratePerSecond * Math.max(0, now - this._refilledAt)) / kMsPerSecond;
+    this._tokens = Math.min(this._limits.capacity, this._tokens + refill);
+    this._refilledAt = now;
   }
 }
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -7,7 +7,7 @@
 
 import {
   type AdmitEnd,
-  AnswerStore,
+  ResponseStore,
   type Answer,
   type Candidate,
   ClaimIndex,
@@ -47,7 +47,7 @@
 /** A daemon of the matrix. */
 export class MatrixDaemon {
   readonly ledger = new RetryLedger();
-  readonly answers = new AnswerStore(kAnswerBytes);
+  readonly answers = new ResponseStore(kAnswerBytes);
   readonly settler = new KeySettler();
   readonly index = new ClaimIndex(kClaims);
   readonly fold = new ConfigFold();
@@ -125,7 +125,7 @@
       candidates,
       unreachable: () => undefined,
       absent: () => 0,
-      suspects: new Suspects({ broadcast: () => undefined, sendSome: () => undefined, note: () => undefined }),
+      suspects: new Suspects({ broadcast: () => undefined, sendSome: () => undefined, onEvent: () => undefined }),
       picker: new TargetPicker(id, 'one', seededRandom(1)),
       rootFilter: new RootFilter(() => 'goodput'),
       ledger: this.ledger,
--- a/tests/workspaces/admitRequest.spec.ts
+++ b/tests/workspaces/admitRequest.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The way of a request in: the order of its checks, and a workspace that sends many times its usual while the rest is busy. */
+/** Admission of external requests. Guards against a wrong order of checks, and against effects of one overloaded workspace on others. */
 
 import {
   type AdmitSurroundings,
@@ -38,42 +38,42 @@
 });
 const kTables = { version: 3, routes: new RouteTable(kConfig), workspaces: new WorkspaceTable(kConfig) };
 
-interface Noted {
+interface Recorded {
   taken: string[];
   ranks: number[];
 }
 
-function around(noted: Noted, changed: Partial<AdmitSurroundings> = {}): AdmitSurroundings {
+function surroundings(recorded: Recorded, changed: Partial<AdmitSurroundings> = {}): AdmitSurroundings {
   return {
     tables: () => kTables,
     validUntil: () => 1_000,
     now: () => 0,
     *takeToken(workspace) {
-      noted.taken.push(workspace);
-      return { kind: 'granted', part: { host: 'h', zone: 'z', share: 1 } };
+      recorded.taken.push(workspace);
+      return { kind: 'granted', share: { host: 'h', zone: 'z', fraction: 1 } };
     },
     sheds: (_route, rank) => {
-      noted.ranks.push(rank);
+      recorded.ranks.push(rank);
       return false;
     },
     ...changed,
   };
 }
 
-function enter(req: Partial<ArrivedRequest>, changed?: Partial<AdmitSurroundings>): { end: EntryEnd; noted: Noted } {
-  const noted: Noted = { taken: [], ranks: [] };
-  const procedure = admitRequest({ host: 'app', path: '/read/1', presented: { kind: 'none' }, ...req }, around(noted, changed));
+function enter(req: Partial<ArrivedRequest>, changed?: Partial<AdmitSurroundings>): { end: EntryEnd; recorded: Recorded } {
+  const recorded: Recorded = { taken: [], ranks: [] };
+  const procedure = admitRequest({ host: 'app', path: '/read/1', presented: { kind: 'none' }, ...req }, surroundings(recorded, changed));
   const step = procedure.next();
   if (step.done !== true) {
-    throw new Error('expected no question');
+    throw new Error('expected no token request');
   }
-  return { end: step.value, noted };
+  return { end: step.value, recorded };
 }
 
 const kCrew = { presented: { kind: 'key', key: 'k-crew' } } as const;
 
-describe('the way of a request in', () => {
-  it('should end in one outcome for each reason, and take a token only when all else is well', (t) => {
+describe('the admission of a request', () => {
+  it('should return one outcome per reason, and take a token only after all other checks', (t) => {
     const cases: [EntryEnd['kind'], Partial<ArrivedRequest>, Partial<AdmitSurroundings>?][] = [
       ['no_configuration', kCrew, { tables: () => undefined }],
       ['no_route', { ...kCrew, path: '/none/' }],
@@ -86,16 +86,16 @@
       ['admitted', { path: '/open/1' }, { validUntil: () => 0 }],
     ];
     for (const [kind, req, changed] of cases) {
-      const { end, noted } = enter(req, changed);
+      const { end, recorded } = enter(req, changed);
       t.is(end.kind, kind);
-      t.deepEqual(noted.taken, []);
+      t.deepEqual(recorded.taken, []);
     }
-    t.deepEqual(enter(kCrew).noted.taken, ['crew']);
-    t.deepEqual(enter({ presented: { kind: 'key', key: 'k-free' } }).noted.taken, []);
+    t.deepEqual(enter(kCrew).recorded.taken, ['crew']);
+    t.deepEqual(enter({ presented: { kind: 'key', key: 'k-free' } }).recorded.taken, []);
   });
 
   it('should rank by workspace before route', (t) => {
-    const rankOf = (key: string, path: string): number => enter({ presented: { kind: 'key', key }, path }).noted.ranks[0] ?? -1;
+    const rankOf = (key: string, path: string): number => enter({ presented: { kind: 'key', key }, path }).recorded.ranks[0] ?? -1;
     const ranks = [rankOf('k-crew', '/hold/1'), rankOf('k-crew', '/read/1'), rankOf('k-office', '/hold/1'), rankOf('k-office', '/read/1')];
     t.deepEqual(
       ranks,
@@ -104,62 +104,65 @@
     t.is(new Set(ranks).size, 4);
   });
 
-  it('should name the workspace of a request that is shed, so that its token goes back', (t) => {
+  it('should return the workspace of a shed request, so that its token is returned', (t) => {
     const { end } = enter(kCrew, { sheds: () => true });
     t.is(end.kind === 'shed' ? end.workspace?.token?.host : undefined, 'h');
   });
 });
 
-describe('a workspace at eight times its usual, while a third of the load is too much', () => {
+describe('a workspace at eight times its usual load, while a third of all load is excess', () => {
   const kUsual = 20;
   const kSeconds = 60;
   const kLevel = 0.33;
 
-  /** Shares of requests that are let in, by workspace; `hot` sends eight times its usual. */
-  function play(hot: boolean): { hot: number; others: number; rejected: number } {
+  /** Shares of admitted requests; with `hot`, one workspace sends eight times its usual load. */
+  function runLoad(hot: boolean): { hot: number; others: number; rejected: number } {
     const random = seededRandom(3);
     const admission = new RootAdmission();
     const buckets = new Map<string, QuotaBucket>();
-    const counts = new Map<string, { came: number; in: number; over: number }>();
+    const counts = new Map<string, { arrived: number; admitted: number; overQuota: number }>();
     for (let now = 0; now < kSeconds * 1_000; now += 1) {
       for (const name of ['w0', 'w1', 'w2', 'w3', 'w4']) {
         const rate = kUsual * (hot && name === 'w0' ? 8 : 1);
         if (random() >= rate / 1_000) {
           continue;
         }
-        const limits = { ratePerSecond: kUsual * 1.6, capacity: kUsual * 1.6, start: 0 };
+        const limits = { ratePerSecond: kUsual * 1.6, capacity: kUsual * 1.6, reserve: 0 };
         const bucket = buckets.get(name) ?? new QuotaBucket(limits, kUsual, now);
         buckets.set(name, bucket);
-        const count = counts.get(name) ?? { came: 0, in: 0, over: 0 };
+        const count = counts.get(name) ?? { arrived: 0, admitted: 0, overQuota: 0 };
         counts.set(name, count);
-        count.came++;
+        count.arrived++;
         if (!bucket.take(now).granted) {
-          count.over++;
+          count.overQuota++;
         } else if (admission.admits(1_000, kLevel, random(), now)) {
-          count.in++;
+          count.admitted++;
         } else {
-          bucket.giveBack(1, now);
+          bucket.returnTokens(1, now);
         }
       }
     }
     const others = [...counts].filter(([name]) => name !== 'w0').map(([, count]) => count);
-    const shareOf = (list: { came: number; in: number }[]): number =>
-      list.reduce((sum, count) => sum + count.in, 0) / list.reduce((sum, count) => sum + count.came, 0);
-    const of = counts.get('w0') ?? { came: 1, in: 0, over: 0 };
-    return { hot: shareOf([of]), others: shareOf(others), rejected: of.over / of.came };
+    const admittedShare = (list: { arrived: number; admitted: number }[]): number =>
+      list.reduce((sum, count) => sum + count.admitted, 0) / list.reduce((sum, count) => sum + count.arrived, 0);
+    const overloaded = counts.get('w0') ?? { arrived: 1, admitted: 0, overQuota: 0 };
+    return { hot: admittedShare([overloaded]), others: admittedShare(others), rejected: overloaded.overQuota / overloaded.arrived };
   }
 
-  it('should cost the others nothing, as what is over its quota is refused before it counts as load', (t) => {
-    const calm = play(false);
-    const rush = play(true);
-    t.true(Math.abs(rush.others - calm.others) < 0.02, `${calm.others} let in before, ${rush.others} beside it`);
-    t.true(rush.rejected > 0.5);
-    t.true(rush.hot > 0.1, 'it is still served what it is owed');
+  it('should not affect others, as requests above its quota are refused before they count as load', (t) => {
+    const baseline = runLoad(false);
+    const overload = runLoad(true);
+    t.true(
+      Math.abs(overload.others - baseline.others) < 0.02,
+      `${baseline.others} admitted before, ${overload.others} during the overload`,
+    );
+    t.true(overload.rejected > 0.5);
+    t.true(overload.hot > 0.1, 'it still gets its quota');
   });
 });
 
 describe('a full gate', () => {
-  it('should shed the less urgent first, also one that came first, and never a call of a target for a person’s request', (t) => {
+  it('should shed the less urgent first, even if it arrived earlier, and never an internal call for an external request', (t) => {
     const refused: number[] = [];
     const gate = new SlotGate({ onStart: () => undefined, onRefuse: ({ id }) => refused.push(id) });
     gate.open(1, 0);
