--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -20,7 +20,7 @@
   importanceIndex,
   KeySettler,
   kOpeningOnTheWay,
-  type OfferEnd,
+  type OfferResult,
   type Procedure,
   type Reply,
   RetryLedger,
@@ -28,7 +28,7 @@
   RootFilter,
   type ServeContext,
   serveCall,
-  type AdmitEnd,
+  type AdmissionResult,
   TargetPicker,
   type NamedClass,
   Suspects,
@@ -56,7 +56,7 @@
   ledger: RetryLedger;
   serve: ServeContext;
   gateContext: GateContext;
-  waiting: Map<string, (end: AdmitEnd) => void>;
+  waiting: Map<string, (end: AdmissionResult) => void>;
   /** Cancels what runs at the target, by attempt. */
   running: Map<string, Cancel>;
   knownGone: Set<string>;
@@ -203,7 +203,7 @@
       case 'cancel':
         this._cancel(daemon, effect.attempt, effect.to, resume);
         return;
-      case 'admitted':
+      case 'awaitAdmission':
         daemon.waiting.set(effect.attempt, resume);
         return;
       case 'forward':
@@ -218,9 +218,9 @@
     const call = this._chainCalls.get(terms.request);
     const host = this._world.hostNamed(to.target);
     const delay = host && this._world.delay(from.host, host);
-    const back = (end: OfferEnd, ms: number): void => {
+    const back = (end: OfferResult, ms: number): void => {
       this._world.time.after(ms, () => {
-        session?.push({ kind: 'ended', attempt, end });
+        session?.push({ kind: 'ended', attempt, result: end });
       });
     };
     if (!host || !call || delay === undefined) {
@@ -304,8 +304,8 @@
   }
 
   private _makeDaemon(host: Host): Daemon {
-    const waiting = new Map<string, (end: AdmitEnd) => void>();
-    const admit = (id: string, end: AdmitEnd): void => {
+    const waiting = new Map<string, (end: AdmissionResult) => void>();
+    const admit = (id: string, end: AdmissionResult): void => {
       const resume = waiting.get(id);
       waiting.delete(id);
       resume?.(end);
@@ -327,9 +327,9 @@
       gate,
       target: host.name,
       ledger,
-      below: new RootFilter(favour, kOpeningOnTheWay),
-      seen: { add: () => true },
-      decide: () => undefined,
+      downstream: new RootFilter(favour, kOpeningOnTheWay),
+      seenAttempts: { add: () => true },
+      logDecision: () => undefined,
     };
     return { host, gate, ledger, waiting, running: new Map(), knownGone, gateContext, serve: this._makeServe(host, ledger, knownGone) };
   }
@@ -356,10 +356,10 @@
       daemon: { id: host.name, incarnation: 1, address: '' },
       stopping: () => false,
       candidates: (service) => (candidates.get(service) ?? []).filter((candidate) => !knownGone.has(candidate.target)),
-      unreachable: ({ target }) => {
+      onUnreachable: ({ target }) => {
         this._suspect(knownGone, host, target);
       },
-      absent: () => 0,
+      unavailableTargets: () => 0,
       suspects: new Suspects({ broadcast: () => undefined, sendSome: () => undefined, note: () => undefined }),
       picker: new TargetPicker(host.zone, 'one', this._world.random),
       rootFilter: new RootFilter(() => this._favour),
@@ -373,7 +373,7 @@
       settler: new KeySettler(),
       claimShard: () => ({ shard: 0, index: new ClaimIndex(1) }),
       newId: () => String(this._ids++),
-      decide: ({ step }) => {
+      logDecision: ({ step }) => {
         if (step === 'retry' || step === 'compete') {
           this._world.counters.repeats++;
         }
--- a/packages/core/src/claims/answerStore.ts
+++ b/packages/core/src/claims/answerStore.ts
@@ -10,12 +10,12 @@
  * `outcome_unknown` and is never run again.
  */
 
-import type { Served } from '../procedures/served.js';
+import type { ServeResult } from '../procedures/served.js';
 
 /** What is known of a key here. */
 export type KeyState =
   | { kind: 'running'; body: string }
-  | { kind: 'answered'; body: string; served: Served }
+  | { kind: 'answered'; body: string; served: ServeResult }
   | { kind: 'forgotten'; body: string }
   /** The call was given up before it ran; a repeat here may take its claim up again. */
   | { kind: 'abandoned'; body: string; nonce: string }
@@ -27,7 +27,7 @@
 const kMaxForgotten = 20_000;
 const kMaxAbandoned = 10_000;
 
-type Waiter = (served: Served | undefined) => void;
+type Waiter = (served: ServeResult | undefined) => void;
 
 /** Store of recorded answers. */
 export class AnswerStore {
@@ -58,13 +58,13 @@
   }
 
   /** Forgets the key: its call was not run, and another attempt may be made. */
-  drop(key: string, served?: Served): void {
+  drop(key: string, served?: ServeResult): void {
     this._states.delete(key);
     this._wake(key, served);
   }
 
   /** Notes that the call was given up before it ran, although its claim holds or may still land in the log. */
-  abandon(key: string, claim: { body: string; nonce: string }, served: Served): void {
+  abandon(key: string, claim: { body: string; nonce: string }, served: ServeResult): void {
     this._states.set(key, { kind: 'abandoned', ...claim });
     this._abandoned.add(key);
     this._wake(key, served);
@@ -83,7 +83,7 @@
   }
 
   /** Records the end of a call. */
-  record(key: string, served: Served): void {
+  record(key: string, served: ServeResult): void {
     const body = this._states.get(key)?.body ?? '';
     this._states.set(key, { kind: 'answered', body, served });
     this._answered.add(key);
@@ -102,7 +102,7 @@
     };
   }
 
-  private _wake(key: string, served: Served | undefined): void {
+  private _wake(key: string, served: ServeResult | undefined): void {
     const waiters = this._waiters.get(key);
     this._waiters.delete(key);
     for (const waiter of waiters ?? []) {
@@ -144,6 +144,6 @@
   }
 }
 
-function sizeOf(served: Served): number {
+function sizeOf(served: ServeResult): number {
   return kEntryBytes + (served.kind === 'answer' ? served.answer.body.byteLength : 0);
 }
--- a/packages/core/src/claims/lookUpAnswer.ts
+++ b/packages/core/src/claims/lookUpAnswer.ts
@@ -5,7 +5,7 @@
 
 /** What the claimant of a key tells another daemon that asks for the answer. */
 
-import type { FetchEnd } from '../procedures/effects.js';
+import type { FetchResult } from '../procedures/effects.js';
 import type { AnswerStore } from './answerStore.js';
 
 /** A question for the answer of a key. */
@@ -17,7 +17,7 @@
 }
 
 /** Looks a key up at the daemon `self`, given as `daemon/incarnation`. */
-export function lookUpAnswer(answers: AnswerStore, question: AnswerQuestion, self: string): FetchEnd {
+export function lookUpAnswer(answers: AnswerStore, question: AnswerQuestion, self: string): FetchResult {
   const { key, body, claimant } = question;
   if (claimant !== self && !claimant.startsWith(`${self}/`)) {
     return { kind: 'unknown' };
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -51,7 +51,7 @@
 export * from './procedures/settleCall.js';
 export * from './procedures/submitPatch.js';
 export * from './procedures/suspectChoice.js';
-export * from './procedures/takenOffers.js';
+export * from './procedures/acceptedOffers.js';
 export * from './quarantine/requestFingerprint.js';
 export * from './quarantine/suspectGate.js';
 export * from './quarantine/suspectLane.js';
--- a/packages/core/src/procedures/takenOffers.ts
+++ b/packages/core/src/procedures/acceptedOffers.ts
@@ -15,26 +15,26 @@
 import type { LeaveProof } from '../membership/memberView.js';
 
 /** Most offers that a last record names, as it goes to every daemon; with more, from senders that are cut off, nothing is proved. */
-const kMaxNamed = 50;
+const kMaxListedOffers = 50;
 /** Time for which an offer is named after its deadline, in milliseconds: the clock of a sender's host may have stood still. */
-const kNamedAfterMs = 60_000;
+const kListedAfterDeadlineMs = 60_000;
 
 /** An offer that was taken, and its deadline on the monotonic clock. */
-export interface TakenOffer {
+export interface AcceptedOffer {
   attempt: string;
   deadline: number;
 }
 
-interface Unsettled extends TakenOffer {
+interface UnsettledOffer extends AcceptedOffer {
   from: string;
 }
 
 /** Follows the offers on connections, which are told apart by identity. */
-export class TakenOffers<C extends object> {
+export class AcceptedOffers<C extends object> {
   /** The newest offer of each open connection, unless it may run twice or was refused. */
-  private readonly _open = new Map<C, { from: string; unsettled: Unsettled | undefined }>();
+  private readonly _open = new Map<C, { from: string; unsettled: UnsettledOffer | undefined }>();
   /** Offers of connections that ended. */
-  private _ended: Unsettled[] = [];
+  private _ended: UnsettledOffer[] = [];
   /** Senders that know of the leave and have no open offers. */
   private readonly _released = new Set<string>();
 
@@ -45,7 +45,7 @@
   }
 
   /** Notes an offer of a daemon; `offer` is undefined for one that may run twice. True when it is the first on its connection. */
-  take(connection: C, from: string, offer: TakenOffer | undefined): boolean {
+  accept(connection: C, from: string, offer: AcceptedOffer | undefined): boolean {
     const first = !this._open.has(connection);
     this._open.set(connection, { from, unsettled: offer && { ...offer, from } });
     return first;
@@ -64,7 +64,7 @@
   closed(connection: C, now: number): void {
     const unsettled = this._open.get(connection)?.unsettled;
     this._open.delete(connection);
-    this._ended = this._ended.filter((offer) => isNamed(offer, now));
+    this._ended = this._ended.filter((offer) => isListed(offer, now));
     if (unsettled) {
       this._ended.push(unsettled);
     }
@@ -78,11 +78,11 @@
   /** What this daemon can prove once it takes nothing any more; undefined when that is too much to tell. */
   leaveProof(now: number): LeaveProof | undefined {
     const open = [...this._open.values()].flatMap(({ unsettled }) => unsettled ?? []);
-    const named = [...open, ...this._ended].filter((offer) => isNamed(offer, now) && !this._released.has(offer.from));
-    return named.length <= kMaxNamed ? { unsettled: named.map(({ attempt }) => attempt) } : undefined;
+    const named = [...open, ...this._ended].filter((offer) => isListed(offer, now) && !this._released.has(offer.from));
+    return named.length <= kMaxListedOffers ? { unsettled: named.map(({ attempt }) => attempt) } : undefined;
   }
 }
 
-function isNamed({ deadline }: TakenOffer, now: number): boolean {
-  return now < deadline + kNamedAfterMs;
+function isListed({ deadline }: AcceptedOffer, now: number): boolean {
+  return now < deadline + kListedAfterDeadlineMs;
 }
--- a/packages/core/src/procedures/admitRequest.ts
+++ b/packages/core/src/procedures/admitRequest.ts
@@ -18,10 +18,10 @@
 /** A workspace's priority goes before that of routes, which are below this. */
 const kRanksPerWorkspace = 1_000;
 /** Time after which a request that was turned away may come back, as a share of its latency target. */
-const kShedRetryShare = 0.3;
+const kShedRetryAfterRatio = 0.3;
 
 /** What decides of a request that came. */
-export interface ArrivedRequest {
+export interface EntryRequest {
   host: string;
   /** May carry a query. */
   path: string;
@@ -48,7 +48,7 @@
 }
 
 /** What became of a request where it entered. */
-export type EntryEnd =
+export type EntryResult =
   | { kind: 'admitted'; route: Route; service: string; rank: number; workspace: RequestWorkspace | undefined }
   | { kind: 'no_configuration' }
   | { kind: 'no_route' }
@@ -60,7 +60,7 @@
   | { kind: 'shed'; route: Route; workspace: RequestWorkspace | undefined; retryAfterMs: number };
 
 /** What the procedure asks of its surroundings. */
-export interface AdmitSurroundings {
+export interface AdmitContext {
   tables(): RoutingTables | undefined;
   /** Until when the configuration may be relied on for keys, on the monotonic clock. */
   validUntil(): number;
@@ -68,12 +68,12 @@
   now(): number;
   takeToken(workspace: string, limits: QuotaLimits): Generator<TokenRequest, QuotaEnd, TokenAnswer>;
   /** Whether a request of a rank is to be turned away for the load on its chain; 0 is the most urgent, `keyed` are people's. */
-  sheds(route: Route, rank: number, keyed: boolean): boolean;
+  shouldShed(route: Route, rank: number, keyed: boolean): boolean;
 }
 
 /** Decides on one request. */
-export function* admitRequest(req: ArrivedRequest, around: AdmitSurroundings): Generator<TokenRequest, EntryEnd, TokenAnswer> {
-  const tables = around.tables();
+export function* admitRequest(req: EntryRequest, ctx: AdmitContext): Generator<TokenRequest, EntryResult, TokenAnswer> {
+  const tables = ctx.tables();
   if (!tables) {
     return { kind: 'no_configuration' };
   }
@@ -83,50 +83,54 @@
     return { kind: 'no_route' };
   }
   if (!workspaces.required || route.exempt) {
-    return decideByLoad(route, undefined, route.priority, tables, around);
+    return decideByLoad(route, undefined, route.priority, tables, ctx);
   }
-  const identified = identify(route, req.presented, tables, around);
+  const identified = identify(route, req.presented, tables, ctx);
   if (identified.kind !== 'identified') {
     return identified;
   }
   const { workspace } = identified;
-  const { name, ratePerSecond, burst, priority } = identified.held;
+  const { name, ratePerSecond, burst, priority } = identified.entry;
   if (ratePerSecond !== undefined) {
-    const quota = yield* around.takeToken(name, { ratePerSecond, burst });
+    const quota = yield* ctx.takeToken(name, { ratePerSecond, burst });
     if (quota.kind !== 'granted') {
       return { kind: quota.kind, route, workspace: name, retryAfterMs: quota.retryAfterMs };
     }
     workspace.token = quota.part;
   }
-  return decideByLoad(route, workspace, priority * kRanksPerWorkspace + Math.min(kRanksPerWorkspace - 1, route.priority), tables, around);
+  return decideByLoad(route, workspace, priority * kRanksPerWorkspace + Math.min(kRanksPerWorkspace - 1, route.priority), tables, ctx);
 }
 
-type Identified =
+type IdentifyResult =
   | {
       kind: 'identified';
-      held: { name: string; ratePerSecond?: number | undefined; burst: number; priority: number };
+      entry: { name: string; ratePerSecond?: number | undefined; burst: number; priority: number };
       workspace: RequestWorkspace;
     }
-  | Extract<EntryEnd, { kind: 'no_key' | 'unknown_key' | 'stale_configuration' }>;
+  | Extract<EntryResult, { kind: 'no_key' | 'unknown_key' | 'stale_configuration' }>;
 
 /** A key that isn't known to a daemon with an old configuration may be a new one, so that is no reason to call it unknown. */
-function identify(route: Route, presented: PresentedKey, { version, workspaces }: RoutingTables, around: AdmitSurroundings): Identified {
+function identify(route: Route, presented: PresentedKey, { version, workspaces }: RoutingTables, ctx: AdmitContext): IdentifyResult {
   if (presented.kind === 'none') {
     return { kind: 'no_key', route };
   }
   if (presented.kind === 'unreadable') {
     return { kind: 'unknown_key', route, key: undefined };
   }
-  const validUntil = around.validUntil();
-  if (validUntil <= around.now()) {
+  const validUntil = ctx.validUntil();
+  if (validUntil <= ctx.now()) {
     return { kind: 'stale_configuration', route };
   }
   const { key } = presented;
-  const held = workspaces.find(key);
-  if (!held) {
+  const entry = workspaces.find(key);
+  if (!entry) {
     return { kind: 'unknown_key', route, key };
   }
-  return { kind: 'identified', held, workspace: { name: held.name, keyHash: keyHash(key), version, validUntil, token: undefined } };
+  return {
+    kind: 'identified',
+    entry: entry,
+    workspace: { name: entry.name, keyHash: keyHash(key), version, validUntil, token: undefined },
+  };
 }
 
 function decideByLoad(
@@ -134,10 +138,10 @@
   workspace: RequestWorkspace | undefined,
   rank: number,
   { routes }: RoutingTables,
-  around: AdmitSurroundings,
-): EntryEnd {
-  if (around.sheds(route, rank, workspace !== undefined)) {
-    return { kind: 'shed', route, workspace, retryAfterMs: route.latencyTargetMs * kShedRetryShare };
+  ctx: AdmitContext,
+): EntryResult {
+  if (ctx.shouldShed(route, rank, workspace !== undefined)) {
+    return { kind: 'shed', route, workspace, retryAfterMs: route.latencyTargetMs * kShedRetryAfterRatio };
   }
   return { kind: 'admitted', route, service: routes.nextService(route), rank, workspace };
 }
--- a/packages/core/src/procedures/attempt.ts
+++ b/packages/core/src/procedures/attempt.ts
@@ -9,7 +9,7 @@
 
 import type { ErrorKind, Outcome } from '../errors/errorKind.js';
 import type { Choice } from '../routing/targetPicker.js';
-import type { Answer } from './served.js';
+import type { TargetResponse } from './served.js';
 
 /** State of an attempt. `offered` stands until something is heard: the target may have started by then. */
 export type AttemptState =
@@ -17,7 +17,7 @@
   | { kind: 'offered' }
   /** The gate, or the target's own shedding, turned it away before the start. */
   | { kind: 'refused'; reason: ErrorKind }
-  | { kind: 'answered'; answer: Answer }
+  | { kind: 'answered'; answer: TargetResponse }
   /** It may have run and gave no whole answer. */
   | { kind: 'failed'; reason: ErrorKind }
   /** Nothing was heard. `written` tells whether a byte may have reached the gate. */
@@ -29,7 +29,7 @@
   id: string;
   choice: Choice;
   /** Allowance lent to it. */
-  lent: number;
+  allowance: number;
   state: AttemptState;
 }
 
--- a/packages/core/src/procedures/callContext.ts
+++ b/packages/core/src/procedures/callContext.ts
@@ -18,7 +18,7 @@
 import type { Suspects } from '../quarantine/suspects.js';
 import type { Suspicion } from '../quarantine/suspicion.js';
 import type { Payload } from './effects.js';
-import type { Served } from './served.js';
+import type { ServeResult } from './served.js';
 
 /** How a call is identified for the sake of running it at most once. */
 export type CallKey =
@@ -31,7 +31,7 @@
   | { kind: 'derived'; key: string };
 
 /** Where a call stands in its chain. */
-export interface ChainPlace {
+export interface ChainPosition {
   /** Id of the root request. */
   root: string;
   /** Ledger entry of the parent call at this daemon; none for a root request. */
@@ -52,7 +52,7 @@
 export interface Call {
   id: string;
   cls: NamedClass;
-  chain: ChainPlace;
+  chain: ChainPosition;
   key: CallKey;
   /** Digest of method, path and body. */
   bodyDigest: string;
@@ -77,9 +77,9 @@
   stopping: () => boolean;
   candidates: (service: string) => readonly Candidate[];
   /** Told that nothing answers at a candidate's daemon. */
-  unreachable: (candidate: Candidate) => void;
+  onUnreachable: (candidate: Candidate) => void;
   /** Targets of a service that take no work now, and may again. */
-  absent: (service: string) => number;
+  unavailableTargets: (service: string) => number;
   /** Kinds of calls that targets may have ended by. */
   suspects: Pick<Suspects, 'assess' | 'quietMs' | 'learn'>;
   picker: TargetPicker;
@@ -91,7 +91,7 @@
   /** Shard of a key; `relay` is the address of the daemon that batches for it, when that is another. */
   claimShard: (key: string) => { shard: number; index: ClaimIndex; relay?: string };
   newId: () => string;
-  decide: (decision: Decision) => void;
+  logDecision: (decision: Decision) => void;
 }
 
 /** One attempt of a call as its offer tells it. */
@@ -131,7 +131,7 @@
 
 /** Result of a served call, with what its chain needs to know. */
 export interface ServedCall {
-  served: Served;
+  served: ServeResult;
   /** Allowance left of what the call had. */
   unspent: number;
   level: LevelReport;
--- a/packages/core/src/procedures/gateCall.ts
+++ b/packages/core/src/procedures/gateCall.ts
@@ -14,7 +14,7 @@
 import type { LedgerSummary, RetryLedger } from '../chain/retryLedger.js';
 import type { ErrorKind } from '../errors/errorKind.js';
 import { monotonicMs } from '../util/clock.js';
-import { type ForwardEnd, type GateLoad, type OfferEnd, type Payload, perform, type Procedure } from './effects.js';
+import { type ForwardResult, type GateLoad, type OfferResult, type Payload, perform, type Procedure } from './effects.js';
 
 /** A call at the gate. */
 export interface GateCall extends Queued {
@@ -28,22 +28,22 @@
   target: string;
   ledger: RetryLedger;
   /** Levels further down, as the target's onward calls meet them: what they shed is not even begun here. */
-  below: RootFilter;
+  downstream: RootFilter;
   /** Attempts that arrived before: an attempt is started once, however often it is delivered. */
-  seen: { add: (attempt: string) => boolean };
-  decide: (decision: { request: string; attempt: string; step: 'gate'; cls: string; target: string; reason: string }) => void;
+  seenAttempts: { add: (attempt: string) => boolean };
+  logDecision: (decision: { request: string; attempt: string; step: 'gate'; cls: string; target: string; reason: string }) => void;
 }
 
 /** HTTP statuses by which a target sheds a call. */
 const kShedStatuses: ReadonlySet<number> = new Set([429, 503]);
 
 /** Takes one attempt through the gate. */
-export function* gateCall(terms: OfferTerms, payload: Payload, ctx: GateContext): Procedure<OfferEnd> {
+export function* gateCall(terms: OfferTerms, payload: Payload, ctx: GateContext): Procedure<OfferResult> {
   const { gate } = ctx;
   if (!gate || terms.target !== ctx.target) {
-    return refusedBy(terms, ctx, 'no_target');
+    return refuseOffer(terms, ctx, 'no_target');
   }
-  if (!ctx.seen.add(terms.attempt)) {
+  if (!ctx.seenAttempts.add(terms.attempt)) {
     return { kind: 'lost', written: true };
   }
   const now = monotonicMs();
@@ -55,70 +55,77 @@
     queuedAt: now,
     terms,
   };
-  if (!passesLevel(call.rank, call.depth, levelBelow(terms, ctx).level)) {
-    return refusedBy(terms, ctx, 'overloaded');
+  if (!passesLevel(call.rank, call.depth, downstreamLevel(terms, ctx).level)) {
+    return refuseOffer(terms, ctx, 'overloaded');
   }
   const decision = gate.offer(call);
   if (decision.kind === 'refused') {
-    return refusedBy(terms, ctx, decision.reason);
+    return refuseOffer(terms, ctx, decision.reason);
   }
   if (decision.kind === 'queued') {
-    const admitted = yield* perform('admitted', { attempt: terms.attempt });
+    const admitted = yield* perform('awaitAdmission', { attempt: terms.attempt });
     if (admitted.kind !== 'started') {
-      return refusedBy(terms, ctx, admitted.kind === 'shed' ? admitted.reason : 'cancelled_before_start');
+      return refuseOffer(terms, ctx, admitted.kind === 'shed' ? admitted.reason : 'cancelled_before_start');
     }
   }
   return yield* runAtTarget(call, payload, gate, ctx);
 }
 
-function* runAtTarget(call: GateCall, payload: Payload, gate: Gate<GateCall>, ctx: GateContext): Procedure<OfferEnd> {
+function* runAtTarget(call: GateCall, payload: Payload, gate: Gate<GateCall>, ctx: GateContext): Procedure<OfferResult> {
   const { terms, deadline } = call;
   const startedAt = monotonicMs();
   if (startedAt >= deadline) {
     gate.ended(call.id, { kind: 'not_run' });
-    return refusedBy(terms, ctx, 'deadline_before_start');
+    return refuseOffer(terms, ctx, 'deadline_before_start');
   }
   ctx.ledger.open(call.id, terms.allowance);
-  ctx.decide({ request: terms.request, attempt: call.id, step: 'gate', cls: terms.className, target: terms.target, reason: 'started' });
-  const end = yield* perform('forward', { attempt: call.id, payload, entry: call.id, deadline });
+  ctx.logDecision({
+    request: terms.request,
+    attempt: call.id,
+    step: 'gate',
+    cls: terms.className,
+    target: terms.target,
+    reason: 'started',
+  });
+  const result = yield* perform('forward', { attempt: call.id, payload, entry: call.id, deadline });
   const now = monotonicMs();
-  const summary = ctx.ledger.close(call.id, now) ?? kNoSummary;
-  ctx.below.learn(terms.className, summary.level, now);
-  const refusal = provenRefusal(end, summary);
-  gate.ended(call.id, gateEnd(refusal, now - startedAt, summary));
-  return offerEnd(end, summary, refusal, { gate, service: terms.service });
+  const summary = ctx.ledger.close(call.id, now) ?? kEmptySummary;
+  ctx.downstream.learn(terms.className, summary.level, now);
+  const refusal = provenRefusal(result, summary);
+  gate.ended(call.id, gateResult(refusal, now - startedAt, summary));
+  return offerResult(result, summary, refusal, { gate, service: terms.service });
 }
 
-function gateEnd(refusal: ErrorKind | undefined, totalMs: number, summary: LedgerSummary): GateEnd {
+function gateResult(refusal: ErrorKind | undefined, totalMs: number, summary: LedgerSummary): GateEnd {
   if (refusal === 'target_shed') {
     return { kind: 'shed_by_target' };
   }
   return refusal ? { kind: 'not_run' } : { kind: 'completed', totalMs, ownMs: Math.max(0, totalMs - summary.waitedMs) };
 }
 
-const kNoSummary: LedgerSummary = { unspent: 0, level: kAllOpen, retriedBelow: false, onwardCalls: 0, waitedMs: 0 };
+const kEmptySummary: LedgerSummary = { unspent: 0, level: kAllOpen, retriedBelow: false, onwardCalls: 0, waitedMs: 0 };
 
 /**
  * Reason for which a call that was sent provably did not run. A target sheds with 429 or 503 and `Retry-After`; that
  * counts only for a call for which it made no onward call.
  */
-function provenRefusal(end: ForwardEnd, summary: LedgerSummary): ErrorKind | undefined {
-  if (end.kind === 'lost' && !end.written) {
+function provenRefusal(result: ForwardResult, summary: LedgerSummary): ErrorKind | undefined {
+  if (result.kind === 'lost' && !result.written) {
     return 'no_target';
   }
-  const shed = end.kind === 'answered' && kShedStatuses.has(end.answer.status) && 'retry-after' in end.answer.headers;
+  const shed = result.kind === 'answered' && kShedStatuses.has(result.answer.status) && 'retry-after' in result.answer.headers;
   return shed && summary.onwardCalls === 0 ? 'target_shed' : undefined;
 }
 
-function offerEnd(end: ForwardEnd, summary: LedgerSummary, refusal: ErrorKind | undefined, at: GateOfService): OfferEnd {
+function offerResult(result: ForwardResult, summary: LedgerSummary, refusal: ErrorKind | undefined, at: ServiceGate): OfferResult {
   const common = { unspent: summary.unspent, level: tighter(summary.level, levelOf(at)), load: loadOf(at.gate) };
-  const failed = (reason: ErrorKind): OfferEnd => ({ kind: 'failed', reason, retriedBelow: summary.retriedBelow, ...common });
+  const failed = (reason: ErrorKind): OfferResult => ({ kind: 'failed', reason, retriedBelow: summary.retriedBelow, ...common });
   if (refusal) {
     return { kind: 'refused', reason: refusal, ...common };
   }
-  switch (end.kind) {
+  switch (result.kind) {
     case 'answered':
-      return { kind: 'answered', answer: end.answer, retriedBelow: summary.retriedBelow, ...common };
+      return { kind: 'answered', answer: result.answer, retriedBelow: summary.retriedBelow, ...common };
     case 'truncated':
       return failed('answer_truncated');
     case 'too_large':
@@ -132,30 +139,30 @@
   }
 }
 
-function refusedBy(terms: OfferTerms, ctx: GateContext, reason: ErrorKind): OfferEnd {
+function refuseOffer(terms: OfferTerms, ctx: GateContext, reason: ErrorKind): OfferResult {
   const { gate } = ctx;
-  ctx.decide({ request: terms.request, attempt: terms.attempt, step: 'gate', cls: terms.className, target: terms.target, reason });
+  ctx.logDecision({ request: terms.request, attempt: terms.attempt, step: 'gate', cls: terms.className, target: terms.target, reason });
   return {
     kind: 'refused',
     reason,
     unspent: terms.allowance,
-    level: gate ? tighter(levelBelow(terms, ctx), levelOf({ gate, service: terms.service })) : kAllOpen,
+    level: gate ? tighter(downstreamLevel(terms, ctx), levelOf({ gate, service: terms.service })) : kAllOpen,
     load: gate ? loadOf(gate) : undefined,
   };
 }
 
 /** Tightest level that calls of this class met below the target. */
-function levelBelow(terms: OfferTerms, ctx: GateContext): LevelReport {
-  const service = ctx.below.narrowest(terms.className);
-  return service === undefined ? kAllOpen : { level: ctx.below.level(terms.className, monotonicMs()), service };
+function downstreamLevel(terms: OfferTerms, ctx: GateContext): LevelReport {
+  const service = ctx.downstream.narrowest(terms.className);
+  return service === undefined ? kAllOpen : { level: ctx.downstream.level(terms.className, monotonicMs()), service };
 }
 
-interface GateOfService {
+interface ServiceGate {
   gate: Gate<GateCall>;
   service: string;
 }
 
-function levelOf({ gate, service }: GateOfService): LevelReport {
+function levelOf({ gate, service }: ServiceGate): LevelReport {
   return { level: gate.level, service };
 }
 
--- a/packages/core/src/procedures/releaseClaim.ts
+++ b/packages/core/src/procedures/releaseClaim.ts
@@ -9,7 +9,7 @@
 import { perform, type Procedure } from './effects.js';
 
 /** What is released, and by whom. */
-export interface Release {
+export interface ClaimRelease {
   key: string;
   shard: number;
   claimant: string;
@@ -17,7 +17,7 @@
 }
 
 /** Releases an abandoned claim. It stays barred here until its release is seen in the log. */
-export function* releaseClaim(release: Release, answers: AnswerStore): Procedure<boolean> {
+export function* releaseClaim(release: ClaimRelease, answers: AnswerStore): Procedure<boolean> {
   const { key, shard, claimant, address } = release;
   const body = answers.get(key)?.body ?? '';
   const nonce = answers.beginRelease(key);
--- a/packages/core/src/procedures/routeRequest.ts
+++ b/packages/core/src/procedures/routeRequest.ts
@@ -20,17 +20,17 @@
  * Most offers of one request beyond these that met a gate without a target behind it: such a one says nothing of the others, and with
  * a tenth of the targets gone a request that counts them has four vain offers one time in ten thousand instead of being served.
  */
-const kMaxVainOffers = 4;
+const kMaxNoTargetOffers = 4;
 
 /** Reasons that hold for every target. */
 const kFinalReasons: ReadonlySet<NotRunReason> = new Set(['cancelled', 'repeat_budget', 'key_not_valid', 'quarantined']);
 /** Time after which a request that is held back may come again, in milliseconds: sooner is of no use. */
-const kHeldRetryMs = 60_000;
+const kQuarantinedRetryMs = 60_000;
 /** The same while too few targets are left to try a suspect, in milliseconds. */
-const kNotNowRetryMs = 1_000;
+const kSuspectedRetryMs = 1_000;
 
 /** A whole answer of a target. */
-export interface WholeAnswer {
+export interface CompleteResponse {
   status: number;
   /** Names and values in turn. */
   headers: string[];
@@ -38,8 +38,8 @@
 }
 
 /** How one offer ended. */
-export type CallEnd =
-  | { kind: 'answered'; answer: WholeAnswer }
+export type CallResult =
+  | { kind: 'answered'; answer: CompleteResponse }
   /** The target has not begun, and never will. */
   | { kind: 'not_run'; reason: NotRunReason; retryAfterMs: number }
   /** It may have run. */
@@ -55,62 +55,62 @@
 }
 
 /** Final answer to the caller. */
-export type RouteEnd =
-  | { kind: 'answered'; answer: WholeAnswer }
+export type RouteResult =
+  | { kind: 'answered'; answer: CompleteResponse }
   | { kind: 'not_run'; reason: NotRunReason | 'no_target'; retryAfterMs: number }
   | { kind: 'lost'; reason: string };
 
 /** What the procedure asks of its surroundings while it runs. */
-export interface RouteSurroundings {
+export interface RouteContext {
   choose(excluded: ReadonlySet<string>): TargetRecord | undefined;
   /** What is known of the request's kind by now: each offer may have told more. */
   verdict(): Verdict;
   /** Whether the service can spare the target that a trial of the kind may cost. */
-  mayTry(): boolean;
+  mayProbe(): boolean;
   /** Time until the caller stops waiting, in milliseconds. */
   remainingMs(): number;
   /** Time that a further offer needs to be worth it, in milliseconds. */
-  usefulMs(): number;
+  minUsefulMs(): number;
 }
 
-const kHeldBack: RouteEnd = { kind: 'not_run', reason: 'quarantined', retryAfterMs: kHeldRetryMs };
+const kQuarantinedResult: RouteResult = { kind: 'not_run', reason: 'quarantined', retryAfterMs: kQuarantinedRetryMs };
 
-const kNotNow: RouteEnd = { kind: 'not_run', reason: 'suspected', retryAfterMs: kNotNowRetryMs };
+const kSuspectedResult: RouteResult = { kind: 'not_run', reason: 'suspected', retryAfterMs: kSuspectedRetryMs };
 
 /** Carries one request. */
 export function* routeRequest(
   route: Pick<Route, 'idempotent' | 'maxAttempts'>,
-  around: RouteSurroundings,
-): Generator<Offer, RouteEnd, CallEnd> {
+  ctx: RouteContext,
+): Generator<Offer, RouteResult, CallResult> {
   const excluded = new Set<string>();
-  let last: RouteEnd = { kind: 'not_run', reason: 'no_target', retryAfterMs: 0 };
+  let last: RouteResult = { kind: 'not_run', reason: 'no_target', retryAfterMs: 0 };
   let arrivals = 0;
-  let vain = 0;
-  for (let offers = 0; offers - vain < kMaxOffers && vain <= kMaxVainOffers; offers++) {
-    const verdict = around.verdict();
+  let noTargetOffers = 0;
+  for (let offers = 0; offers - noTargetOffers < kMaxOffers && noTargetOffers <= kMaxNoTargetOffers; offers++) {
+    const verdict = ctx.verdict();
     if (verdict === 'quarantined') {
       // Also in the middle of a request: the next offer would end one more target.
-      return arrivals > 0 ? last : kHeldBack;
+      return arrivals > 0 ? last : kQuarantinedResult;
     }
-    if (verdict === 'trial' && !around.mayTry()) {
-      return arrivals > 0 ? last : kNotNow;
+    if (verdict === 'trial' && !ctx.mayProbe()) {
+      return arrivals > 0 ? last : kSuspectedResult;
     }
-    const target = around.choose(excluded);
-    if (!target || (offers > 0 && around.remainingMs() < around.usefulMs())) {
+    const target = ctx.choose(excluded);
+    if (!target || (offers > 0 && ctx.remainingMs() < ctx.minUsefulMs())) {
       return last;
     }
     const suspect = verdict !== 'clear';
-    const end = yield { target, repeat: arrivals > 0, suspect };
-    if (!isNewlySuspected(end, suspect)) {
+    const result = yield { target, repeat: arrivals > 0, suspect };
+    if (!isNewlySuspected(result, suspect)) {
       excluded.add(target.host);
     }
-    if (reachedTarget(end)) {
+    if (reachedTarget(result)) {
       arrivals++;
-    } else if (isVain(end)) {
-      vain++;
+    } else if (foundNoTarget(result)) {
+      noTargetOffers++;
     }
-    last = arrivals > 0 ? worse(last, end) : end;
-    if (isFinal(end, route, arrivals) || (suspect && isSuspected(end))) {
+    last = arrivals > 0 ? lessCertain(last, result) : result;
+    if (isFinal(result, route, arrivals) || (suspect && isSuspected(result))) {
       return last;
     }
   }
@@ -118,44 +118,44 @@
 }
 
 /** The gate knew more than this daemon did: the same target may be the one where the kind is tried. */
-function isNewlySuspected(end: CallEnd, knownSuspect: boolean): boolean {
-  return !knownSuspect && isSuspected(end);
+function isNewlySuspected(result: CallResult, knownSuspect: boolean): boolean {
+  return !knownSuspect && isSuspected(result);
 }
 
-function isSuspected(end: CallEnd): boolean {
-  return end.kind === 'not_run' && end.reason === 'suspected';
+function isSuspected(result: CallResult): boolean {
+  return result.kind === 'not_run' && result.reason === 'suspected';
 }
 
 /** Whether an offer ended where there is no target to be had, before anything was sent to one. */
-export function isVain(end: CallEnd): boolean {
-  return end.kind === 'not_run' && (end.reason === 'unreachable' || end.reason === 'not_accepting');
+export function foundNoTarget(result: CallResult): boolean {
+  return result.kind === 'not_run' && (result.reason === 'unreachable' || result.reason === 'not_accepting');
 }
 
-function reachedTarget(end: CallEnd): boolean {
-  switch (end.kind) {
+function reachedTarget(result: CallResult): boolean {
+  switch (result.kind) {
     case 'answered':
     case 'lost':
       return true;
     case 'not_run':
-      return end.reason === 'target_refused' || end.reason === 'wrong_instance';
+      return result.reason === 'target_refused' || result.reason === 'wrong_instance';
   }
 }
 
-function isFinal(end: CallEnd, route: Pick<Route, 'idempotent' | 'maxAttempts'>, arrivals: number): boolean {
-  switch (end.kind) {
+function isFinal(result: CallResult, route: Pick<Route, 'idempotent' | 'maxAttempts'>, arrivals: number): boolean {
+  switch (result.kind) {
     case 'answered':
-      return end.answer.status < 500 || !route.idempotent || arrivals >= route.maxAttempts;
+      return result.answer.status < 500 || !route.idempotent || arrivals >= route.maxAttempts;
     case 'lost':
       return !route.idempotent || arrivals >= route.maxAttempts;
     case 'not_run':
-      return kFinalReasons.has(end.reason) || arrivals >= route.maxAttempts;
+      return kFinalReasons.has(result.reason) || arrivals >= route.maxAttempts;
   }
 }
 
 /** What an earlier offer may have done stays true: a later refusal doesn't make the request "not run". */
-function worse(last: RouteEnd, end: CallEnd): RouteEnd {
-  if (end.kind === 'not_run' && (last.kind === 'lost' || last.kind === 'answered')) {
+function lessCertain(last: RouteResult, result: CallResult): RouteResult {
+  if (result.kind === 'not_run' && (last.kind === 'lost' || last.kind === 'answered')) {
     return last;
   }
-  return end;
+  return result;
 }
--- a/packages/core/src/procedures/runProcedure.ts
+++ b/packages/core/src/procedures/runProcedure.ts
@@ -8,18 +8,18 @@
 import type { Effect, EffectName, Effects, Procedure, Reply } from './effects.js';
 
 /** Performs effects: one function per kind. */
-export type Performers = { [K in EffectName]?: (effect: Extract<Effect, { type: K }>) => Promise<Effects[K]['reply']> };
+export type EffectHandlers = { [K in EffectName]?: (effect: Extract<Effect, { type: K }>) => Promise<Effects[K]['reply']> };
 
 /** Runs a procedure to its end, performing each effect in turn. */
-export async function runProcedure<T>(procedure: Procedure<T>, performers: Performers): Promise<T> {
+export async function runProcedure<T>(procedure: Procedure<T>, handlers: EffectHandlers): Promise<T> {
   let step = procedure.next();
   while (step.done !== true) {
     const effect = step.value;
-    const performer = performers[effect.type] as ((effect: Effect) => Promise<Reply>) | undefined;
-    if (!performer) {
+    const handler = handlers[effect.type] as ((effect: Effect) => Promise<Reply>) | undefined;
+    if (!handler) {
       throw new Error(`expected a performer for the effect "${effect.type}", got none`);
     }
-    step = procedure.next(await performer(effect));
+    step = procedure.next(await handler(effect));
   }
   return step.value;
 }
--- a/packages/core/src/procedures/serveCall.ts
+++ b/packages/core/src/procedures/serveCall.ts
@@ -13,11 +13,11 @@
 import type { Call, ServeContext, ServedCall } from './callContext.js';
 import type { Procedure } from './effects.js';
 import { runAttempts } from './runAttempts.js';
-import { failedWith, type Served } from './served.js';
+import { errorResult, type ServeResult } from './served.js';
 import { joinKnown, settleCall } from './settleCall.js';
 
 /** Serves a call. */
-export function* serveCall(call: Call, ctx: ServeContext): Procedure<Served> {
+export function* serveCall(call: Call, ctx: ServeContext): Procedure<ServeResult> {
   const { parent, root } = call.chain;
   if (parent === undefined) {
     ctx.settler.openRoot(root);
@@ -36,19 +36,19 @@
 function* serveSettled(call: Call, ctx: ServeContext, allowance: number): Procedure<ServedCall> {
   const known = yield* joinKnown(call, ctx);
   if (known) {
-    return endWithoutRun(ofThisTry(call, known), allowance);
+    return resultWithoutRun(limitToThisTry(call, known), allowance);
   }
   const refusal = refuseEarly(call, ctx);
   if (refusal) {
-    return endWithoutRun(ofThisTry(call, refused(call, ctx, refusal)), allowance, refusal);
+    return resultWithoutRun(limitToThisTry(call, refusedResult(call, ctx, refusal)), allowance, refusal);
   }
   const settled = yield* settleCall(call, ctx);
   if (settled.kind === 'done') {
-    return endWithoutRun(ofThisTry(call, settled.served), allowance);
+    return resultWithoutRun(limitToThisTry(call, settled.served), allowance);
   }
   const result = yield* runAttempts(call, ctx, allowance);
   if (call.key.kind !== 'none') {
-    recordEnd(call, ctx, call.key.key, settled.nonce ?? '', result.served);
+    recordResult(call, ctx, call.key.key, settled.nonce ?? '', result.served);
   }
   return result;
 }
@@ -76,24 +76,24 @@
   return ctx.rootFilter.admits(cls.name, rankOf(chain), now) ? undefined : 'overloaded';
 }
 
-function refused(call: Call, ctx: ServeContext, error: ErrorKind): Served {
-  ctx.decide({ request: call.id, step: 'refuse', cls: call.cls.name, reason: error });
-  return failedWith(error, answerOf(error).outcome, 'Refused before the first hop.');
+function refusedResult(call: Call, ctx: ServeContext, error: ErrorKind): ServeResult {
+  ctx.logDecision({ request: call.id, step: 'refuse', cls: call.cls.name, reason: error });
+  return errorResult(error, answerOf(error).outcome, 'Refused before the first hop.');
 }
 
-function endWithoutRun(served: Served, unspent: number, refusal?: ErrorKind): ServedCall {
+function resultWithoutRun(served: ServeResult, unspent: number, refusal?: ErrorKind): ServedCall {
   return { served, unspent, level: kAllOpen, final: refusal === 'overloaded' };
 }
 
 /** Marks a `not_run` that was told before it was settled who holds the key: an earlier try may have run elsewhere. */
-function ofThisTry(call: Call, served: Served): Served {
+function limitToThisTry(call: Call, served: ServeResult): ServeResult {
   const settledElsewhere = call.key.kind === 'own' || call.key.kind === 'minted';
   const unsettled = served.kind === 'error' && served.outcome === 'not_run' && served.error !== 'key_mismatch';
   return settledElsewhere && unsettled ? { ...served, thisTryOnly: true } : served;
 }
 
 /** Keeps the end of a keyed call for its repeats. A call that provably did not run may be repeated under its claim. */
-function recordEnd(call: Call, ctx: ServeContext, key: string, nonce: string, served: Served): void {
+function recordResult(call: Call, ctx: ServeContext, key: string, nonce: string, served: ServeResult): void {
   const notRun = served.kind === 'error' && served.outcome === 'not_run';
   if (notRun) {
     ctx.answers.abandon(key, { body: call.bodyDigest, nonce }, served);
--- a/packages/core/src/procedures/served.ts
+++ b/packages/core/src/procedures/served.ts
@@ -8,15 +8,15 @@
 import type { ErrorKind, Outcome } from '../errors/errorKind.js';
 
 /** A whole answer of a target. */
-export interface Answer {
+export interface TargetResponse {
   status: number;
   headers: Record<string, string | string[]>;
   body: Uint8Array;
 }
 
 /** What a daemon tells the caller in the end: a target's whole answer, or an error of the closed list. */
-export type Served =
-  | { kind: 'answer'; answer: Answer }
+export type ServeResult =
+  | { kind: 'answer'; answer: TargetResponse }
   | {
       kind: 'error';
       error: ErrorKind;
@@ -27,6 +27,6 @@
     };
 
 /** Makes an error end. The outcome is what was proved of the attempts, not what the kind alone would allow. */
-export function failedWith(error: ErrorKind, outcome: Outcome, detail: string): Served {
+export function errorResult(error: ErrorKind, outcome: Outcome, detail: string): ServeResult {
   return { kind: 'error', error, outcome, detail };
 }
--- a/packages/core/src/procedures/settleCall.ts
+++ b/packages/core/src/procedures/settleCall.ts
@@ -16,14 +16,14 @@
 import { monotonicMs } from '../util/clock.js';
 import type { Call, ServeContext } from './callContext.js';
 import { claimInLog, type ClaimedInLog } from './claimInLog.js';
-import { type FetchEnd, perform, type Procedure } from './effects.js';
-import { failedWith, type Served } from './served.js';
+import { type FetchResult, perform, type Procedure } from './effects.js';
+import { errorResult, type ServeResult } from './served.js';
 
 /** Right to run a call under a nonce, or the end of it. */
-export type Settled = { kind: 'run'; nonce?: string } | { kind: 'done'; served: Served };
+export type SettleResult = { kind: 'run'; nonce?: string } | { kind: 'done'; served: ServeResult };
 
 /** Settles a call with a key. */
-export function* settleCall(call: Call, ctx: ServeContext): Procedure<Settled> {
+export function* settleCall(call: Call, ctx: ServeContext): Procedure<SettleResult> {
   const { key } = call;
   if (key.kind === 'none') {
     return { kind: 'run' };
@@ -36,7 +36,7 @@
   }
   switch (key.kind) {
     case 'own':
-      return yield* settleByLog(call, ctx, key.key, nonce);
+      return yield* settleOwn(call, ctx, key.key, nonce);
     case 'minted':
       return yield* settleMinted(call, ctx, key, nonce);
     case 'derived':
@@ -45,7 +45,7 @@
 }
 
 /** Looks at what this daemon knows of the key itself: a repeat joins, or gets the recorded answer. */
-export function* joinKnown(call: Call, ctx: ServeContext): Procedure<Served | undefined> {
+export function* joinKnown(call: Call, ctx: ServeContext): Procedure<ServeResult | undefined> {
   const key = keyText(call);
   const state = ctx.answers.get(key);
   if (!state) {
@@ -56,14 +56,14 @@
   }
   switch (state.kind) {
     case 'answered':
-      note(call, ctx, 'join', 'recorded answer');
+      logDecision(call, ctx, 'join', 'recorded answer');
       return state.served;
     case 'forgotten':
       return refusal(call, ctx, 'outcome_unknown', 'The call ran; its answer is no longer kept.');
     case 'running': {
-      note(call, ctx, 'join', 'running here');
+      logDecision(call, ctx, 'join', 'running here');
       const served = yield* perform('joinRunning', { key, until: call.deadline });
-      return served ?? failedWith('outcome_unknown', 'unknown', 'The first run of this key gave no answer in time.');
+      return served ?? errorResult('outcome_unknown', 'unknown', 'The first run of this key gave no answer in time.');
     }
     case 'releasing':
       return refusal(call, ctx, 'log_unavailable', 'The earlier claim of this key is being released.');
@@ -72,19 +72,19 @@
   }
 }
 
-function* settleByLog(call: Call, ctx: ServeContext, key: string, nonce: string): Procedure<Settled> {
+function* settleOwn(call: Call, ctx: ServeContext, key: string, nonce: string): Procedure<SettleResult> {
   const claimed = yield* claim(makeClaim(call, ctx, key, nonce), ctx);
   if (claimed.kind === 'unavailable') {
-    return giveUp(call, ctx, nonce, 'log_unavailable', claimed.detail);
+    return abandonCall(call, ctx, nonce, 'log_unavailable', claimed.detail);
   }
   const { holder } = claimed;
   if (holder.nonce === nonce) {
-    return startUnder(call, ctx, nonce, 'claimed by log order');
+    return startWithNonce(call, ctx, nonce, 'claimed by log order');
   }
   if (holder.body !== call.bodyDigest) {
-    return lose(call, ctx, 'key_mismatch', 'The key was used with another request.');
+    return dropCall(call, ctx, 'key_mismatch', 'The key was used with another request.');
   }
-  return yield* askHolder(call, ctx, holder);
+  return yield* fetchFromHolder(call, ctx, holder);
 }
 
 /** Claims by way of the daemon that batches for the shard; by itself when that one can't be reached. */
@@ -104,78 +104,83 @@
   return yield* claimInLog(record, shard, index);
 }
 
-function* settleMinted(call: Call, ctx: ServeContext, key: Extract<Call['key'], { kind: 'minted' }>, nonce: string): Procedure<Settled> {
+function* settleMinted(
+  call: Call,
+  ctx: ServeContext,
+  key: Extract<Call['key'], { kind: 'minted' }>,
+  nonce: string,
+): Procedure<SettleResult> {
   if (key.owner === ctx.daemon.id && key.incarnation === ctx.daemon.incarnation) {
     const verdict = ctx.settler.settleMinted(makeBid(call, ctx, key.key, nonce));
-    return yield* byVerdict(call, ctx, nonce, verdict);
+    return yield* applyVerdict(call, ctx, nonce, verdict);
   }
   const { address, incarnation } = key;
   const bid = makeBid(call, ctx, key.key, nonce);
   const verdict = yield* perform('settleKey', { to: address, incarnation, bid });
   if (verdict.kind === 'unreachable') {
-    return giveUp(call, ctx, nonce, 'outcome_unknown', 'The daemon that minted the key is unreachable.');
+    return abandonCall(call, ctx, nonce, 'outcome_unknown', 'The daemon that minted the key is unreachable.');
   }
-  return yield* byVerdict(call, ctx, nonce, verdict);
+  return yield* applyVerdict(call, ctx, nonce, verdict);
 }
 
-function* settleDerived(call: Call, ctx: ServeContext, key: string, nonce: string): Procedure<Settled> {
+function* settleDerived(call: Call, ctx: ServeContext, key: string, nonce: string): Procedure<SettleResult> {
   const { chain } = call;
   const bid = makeBid(call, ctx, key, nonce);
   if (chain.rootDaemon === ctx.daemon.id && chain.rootIncarnation === ctx.daemon.incarnation) {
-    return yield* byVerdict(call, ctx, nonce, ctx.settler.settleDerived(chain.root, bid));
+    return yield* applyVerdict(call, ctx, nonce, ctx.settler.settleDerived(chain.root, bid));
   }
   const verdict = yield* perform('settleKey', { to: chain.rootAddress, incarnation: chain.rootIncarnation, bid, root: chain.root });
   if (verdict.kind === 'unreachable') {
-    return giveUp(call, ctx, nonce, 'settler_unreachable', 'The daemon where the request entered is unreachable.');
+    return abandonCall(call, ctx, nonce, 'settler_unreachable', 'The daemon where the request entered is unreachable.');
   }
-  return yield* byVerdict(call, ctx, nonce, verdict);
+  return yield* applyVerdict(call, ctx, nonce, verdict);
 }
 
-function* byVerdict(call: Call, ctx: ServeContext, nonce: string, verdict: KeyVerdict): Procedure<Settled> {
+function* applyVerdict(call: Call, ctx: ServeContext, nonce: string, verdict: KeyVerdict): Procedure<SettleResult> {
   switch (verdict.kind) {
     case 'granted':
-      return startUnder(call, ctx, nonce, 'granted by settler');
+      return startWithNonce(call, ctx, nonce, 'granted by settler');
     case 'held':
-      return yield* askHolder(call, ctx, { claimant: verdict.holder, address: verdict.address });
+      return yield* fetchFromHolder(call, ctx, { claimant: verdict.holder, address: verdict.address });
     case 'mismatch':
-      return lose(call, ctx, 'key_mismatch', 'The key was used with another request.');
+      return dropCall(call, ctx, 'key_mismatch', 'The key was used with another request.');
     case 'unknown':
-      return lose(call, ctx, 'outcome_unknown', 'The key is not known where it is settled.');
+      return dropCall(call, ctx, 'outcome_unknown', 'The key is not known where it is settled.');
   }
 }
 
 /** Checks the deadline once more: the process may have been paused since it asked. */
-function startUnder(call: Call, ctx: ServeContext, nonce: string, reason: string): Settled {
+function startWithNonce(call: Call, ctx: ServeContext, nonce: string, reason: string): SettleResult {
   if (monotonicMs() >= call.deadline) {
-    return giveUp(call, ctx, nonce, 'deadline_before_start', 'The deadline passed before the key was settled.');
+    return abandonCall(call, ctx, nonce, 'deadline_before_start', 'The deadline passed before the key was settled.');
   }
-  note(call, ctx, 'settle', reason);
+  logDecision(call, ctx, 'settle', reason);
   return { kind: 'run', nonce };
 }
 
-function* askHolder(call: Call, ctx: ServeContext, holder: { claimant: string; address: string }): Procedure<Settled> {
-  note(call, ctx, 'join', `held by ${holder.claimant}`);
+function* fetchFromHolder(call: Call, ctx: ServeContext, holder: { claimant: string; address: string }): Procedure<SettleResult> {
+  logDecision(call, ctx, 'join', `held by ${holder.claimant}`);
   const { claimant, address } = holder;
   const key = keyText(call);
   const fetched = yield* perform('fetchAnswer', { address, claimant, key, body: call.bodyDigest, until: call.deadline });
-  const served = servedElsewhere(fetched);
+  const served = resultOfFetch(fetched);
   ctx.answers.drop(key, served);
   return { kind: 'done', served };
 }
 
-function servedElsewhere(fetched: FetchEnd): Served {
+function resultOfFetch(fetched: FetchResult): ServeResult {
   switch (fetched.kind) {
     case 'recorded':
       return fetched.served;
     case 'not_run':
-      return failedWith('log_unavailable', 'not_run', 'The earlier claim of this key was given up; its release is on the way.');
+      return errorResult('log_unavailable', 'not_run', 'The earlier claim of this key was given up; its release is on the way.');
     case 'mismatch':
-      return failedWith('key_mismatch', 'not_run', 'The key was used with another request.');
+      return errorResult('key_mismatch', 'not_run', 'The key was used with another request.');
     case 'running':
-      return failedWith('outcome_unknown', 'unknown', 'The first run of this key has not ended.');
+      return errorResult('outcome_unknown', 'unknown', 'The first run of this key has not ended.');
     case 'unknown':
     case 'unreachable':
-      return failedWith('outcome_unknown', 'unknown', 'The daemon that ran this key cannot tell its answer.');
+      return errorResult('outcome_unknown', 'unknown', 'The daemon that ran this key cannot tell its answer.');
   }
 }
 
@@ -183,30 +188,30 @@
  * Gives a call up whose claim may still land, or was granted: the nonce is kept, so that nothing runs under it by
  * surprise, and a repeat here can take the claim up again.
  */
-function giveUp(call: Call, ctx: ServeContext, nonce: string, error: ErrorKind, detail: string): Settled {
+function abandonCall(call: Call, ctx: ServeContext, nonce: string, error: ErrorKind, detail: string): SettleResult {
   const settled = refuse(call, ctx, error, detail);
   ctx.answers.abandon(keyText(call), { body: call.bodyDigest, nonce }, settled.served);
   return settled;
 }
 
 /** Ends a call that may not run under its key, now or later. */
-function lose(call: Call, ctx: ServeContext, error: ErrorKind, detail: string): Settled {
+function dropCall(call: Call, ctx: ServeContext, error: ErrorKind, detail: string): SettleResult {
   const settled = refuse(call, ctx, error, detail);
   ctx.answers.drop(keyText(call), settled.served);
   return settled;
 }
 
-function refuse(call: Call, ctx: ServeContext, error: ErrorKind, detail: string): Extract<Settled, { kind: 'done' }> {
+function refuse(call: Call, ctx: ServeContext, error: ErrorKind, detail: string): Extract<SettleResult, { kind: 'done' }> {
   return { kind: 'done', served: refusal(call, ctx, error, detail) };
 }
 
-function refusal(call: Call, ctx: ServeContext, error: ErrorKind, detail: string): Served {
-  note(call, ctx, 'refuse', error);
-  return failedWith(error, answerOf(error).outcome, detail);
+function refusal(call: Call, ctx: ServeContext, error: ErrorKind, detail: string): ServeResult {
+  logDecision(call, ctx, 'refuse', error);
+  return errorResult(error, answerOf(error).outcome, detail);
 }
 
-function note(call: Call, ctx: ServeContext, step: 'refuse' | 'settle' | 'join', reason: string): void {
-  ctx.decide({ request: call.id, step, cls: call.cls.name, reason });
+function logDecision(call: Call, ctx: ServeContext, step: 'refuse' | 'settle' | 'join', reason: string): void {
+  ctx.logDecision({ request: call.id, step, cls: call.cls.name, reason });
 }
 
 function keyText(call: Call): string {
--- a/packages/core/src/procedures/submitPatch.ts
+++ b/packages/core/src/procedures/submitPatch.ts
@@ -10,21 +10,21 @@
 import { perform, type Procedure } from './effects.js';
 
 /** End of a submission. `unsettled`: the log must be asked again, with the same patch id. */
-export type Submitted = PatchVerdict | { kind: 'unavailable' } | { kind: 'unsettled' };
+export type SubmitResult = PatchVerdict | { kind: 'unavailable' } | { kind: 'unsettled' };
 
 /** Submits a patch. Repeating it with the same patch id is safe: the log's first copy counts. */
-export function* submitPatch(record: PatchRecord, fold: ConfigFold): Procedure<Submitted> {
-  const before = fold.verdict(record.patchId);
-  if (before) {
-    return before;
+export function* submitPatch(record: PatchRecord, fold: ConfigFold): Procedure<SubmitResult> {
+  const known = fold.verdict(record.patchId);
+  if (known) {
+    return known;
   }
-  const fresh = yield* perform('readConfig', {});
-  if (fresh.kind === 'unavailable') {
+  const caughtUp = yield* perform('readConfig', {});
+  if (caughtUp.kind === 'unavailable') {
     return { kind: 'unavailable' };
   }
-  const foreseen = fold.verdict(record.patchId) ?? fold.check(record.base, record.patch);
-  if (foreseen.kind !== 'accepted' || fold.verdict(record.patchId)) {
-    return foreseen;
+  const expected = fold.verdict(record.patchId) ?? fold.check(record.base, record.patch);
+  if (expected.kind !== 'accepted' || fold.verdict(record.patchId)) {
+    return expected;
   }
   const appended = yield* perform('appendPatch', { record });
   if (appended.kind === 'refused') {
--- a/packages/core/src/procedures/suspectChoice.ts
+++ b/packages/core/src/procedures/suspectChoice.ts
@@ -21,14 +21,14 @@
   | { kind: 'refused'; reason: 'suspected' | 'quarantined' };
 
 /** What tells the kind of a call. */
-export function identityOfCall(service: string, { method, path, body }: Payload): RequestIdentity {
+export function requestIdentity(service: string, { method, path, body }: Payload): RequestIdentity {
   return { method, host: service, path, body };
 }
 
 /** Decides on the next attempt of a call. */
 export function chooseForSuspect(call: Call, ctx: ServeContext, tried: ReadonlySet<string>, now: number): SuspectChoice {
   const { service } = call.cls;
-  const assessed = ctx.suspects.assess(() => identityOfCall(service, call.payload));
+  const assessed = ctx.suspects.assess(() => requestIdentity(service, call.payload));
   if (!assessed || assessed.verdict === 'clear') {
     return { kind: 'free' };
   }
@@ -37,7 +37,7 @@
     return { kind: 'refused', reason: 'quarantined' };
   }
   const candidates = ctx.candidates(service).map((candidate) => ({ host: candidate.target, candidate }));
-  const targets = { ready: candidates.length, unreachable: ctx.absent(service) };
+  const targets = { ready: candidates.length, unreachable: ctx.unavailableTargets(service) };
   if (verdict === 'trial' && !sparesTarget(targets, ctx.suspects.quietMs(suspicion.fingerprint))) {
     return { kind: 'refused', reason: 'suspected' };
   }
--- a/packages/daemon/src/app/callService.ts
+++ b/packages/daemon/src/app/callService.ts
@@ -10,7 +10,7 @@
   type Call,
   type CallKey,
   type Candidate,
-  type ChainPlace,
+  type ChainPosition,
   Classifier,
   cohortOf,
   type ErrorKind,
@@ -19,7 +19,7 @@
   monotonicMs,
   type NamedClass,
   type Payload,
-  type Performers,
+  type EffectHandlers,
   releaseClaim,
   type RetryLedger,
   RetryRatio,
@@ -27,10 +27,10 @@
   runProcedure,
   type ServeContext,
   serveCall,
-  type Served,
+  type ServeResult,
   type Suspects,
   type TargetPicker,
-  failedWith,
+  errorResult,
   answerOf,
   wallMs,
 } from '@gentiandrum/core';
@@ -59,7 +59,7 @@
 /** A request that was taken in: how it ends, and how to tell that its caller hung up. */
 export interface TakenRequest {
   id: string;
-  served: Promise<Served>;
+  served: Promise<ServeResult>;
   callerGone: () => void;
 }
 
@@ -141,8 +141,8 @@
   }
 
   /** Error answer for a request that is refused before anything is done for it. */
-  refusal(error: ErrorKind): Served {
-    return failedWith(error, answerOf(error).outcome, answerOf(error).title);
+  refusal(error: ErrorKind): ServeResult {
+    return errorResult(error, answerOf(error).outcome, answerOf(error).title);
   }
 
   /** Gives the claim of a key back whose call was not run here. */
@@ -156,7 +156,7 @@
     });
   }
 
-  private async _serve(call: Call, session: CallSession): Promise<Served> {
+  private async _serve(call: Call, session: CallSession): Promise<ServeResult> {
     const startedAt = monotonicMs();
     const size = call.payload.body.byteLength;
     this._inFlight++;
@@ -171,7 +171,7 @@
     }
   }
 
-  private _measure(call: Call, served: Served, ms: number): void {
+  private _measure(call: Call, served: ServeResult, ms: number): void {
     const end = served.kind === 'answer' ? String(served.answer.status) : served.error;
     const tags = { class: call.cls.name, service: call.cls.service, end };
     this._deps.metrics.count('request', tags);
@@ -208,7 +208,7 @@
     return monotonicMs() + Math.min(cls.deadlineMs, req.timeoutMs ?? Infinity, byChain);
   }
 
-  private _placeInChain(id: string, cls: NamedClass, { chain: token, payload }: IncomingRequest): ChainPlace {
+  private _placeInChain(id: string, cls: NamedClass, { chain: token, payload }: IncomingRequest): ChainPosition {
     const { daemon } = this._deps;
     if (!token) {
       return {
@@ -229,7 +229,7 @@
     return { root, parent: entry, importance, cohort, depth: depth + 1, rootDaemon, rootAddress, rootIncarnation, repeatable, path };
   }
 
-  private _keyOf(parsed: KeyText, cls: NamedClass, chain: ChainPlace): CallKey {
+  private _keyOf(parsed: KeyText, cls: NamedClass, chain: ChainPosition): CallKey {
     switch (parsed.kind) {
       case 'own':
         return { kind: 'own', key: digestOf('own', cls.service, parsed.text) };
@@ -268,7 +268,7 @@
     return ordinal;
   }
 
-  private _performers(session: CallSession): Performers {
+  private _performers(session: CallSession): EffectHandlers {
     const { claims, peers } = this._deps;
     return {
       offer: (effect) => session.offer(effect),
@@ -285,7 +285,7 @@
   }
 
   /** Waits for the running call of a key, up to a time on the monotonic clock. */
-  joinRunning(key: string, until: number): Promise<Served | undefined> {
+  joinRunning(key: string, until: number): Promise<ServeResult | undefined> {
     return new Promise((resolve) => {
       const timer = setTimeout(
         () => {
@@ -307,8 +307,8 @@
       daemon,
       stopping,
       candidates,
-      unreachable,
-      absent,
+      onUnreachable: unreachable,
+      unavailableTargets: absent,
       suspects,
       picker,
       ledger,
@@ -318,7 +318,7 @@
       settler: this.settler,
       claimShard: (key) => claims.shardOf(key),
       newId: () => this._ids.next(),
-      decide: (decision) => {
+      logDecision: (decision) => {
         decisions.add(decision);
       },
     };
--- a/packages/daemon/src/app/callSession.ts
+++ b/packages/daemon/src/app/callSession.ts
@@ -5,7 +5,7 @@
 
 /** One call's attempts in the world: sends offers, collects their ends, and wakes the procedure that waits for them. */
 
-import { type CallEvent, type Candidate, type Effects, monotonicMs, type OfferEnd, type Payload } from '@gentiandrum/core';
+import { type CallEvent, type Candidate, type Effects, monotonicMs, type OfferResult, type Payload } from '@gentiandrum/core';
 import { kOfferHeader, kVerdictHeader, type OfferTerms, offerVerdictSchema } from '@gentiandrum/protocol';
 import { exchange, type ExchangeEnd, HttpExchange } from '../client/httpExchange.js';
 import type { Pools } from '../client/pools.js';
@@ -46,14 +46,14 @@
   }
 
   /** Sends an offer; its end comes as an event. */
-  offer(effect: Effects['offer']['ask']): Promise<undefined> {
+  offer(effect: Effects['offer']['params']): Promise<undefined> {
     const { attempt, to, terms, payload } = effect;
     if (to.daemon === this._deps.selfId) {
       void this._deps.offers
         .offer(terms, payload)
-        .catch((): OfferEnd => ({ kind: 'lost', written: true }))
+        .catch((): OfferResult => ({ kind: 'lost', written: true }))
         .then((end) => {
-          this._push({ kind: 'ended', attempt, end });
+          this._push({ kind: 'ended', attempt, result: end });
         });
     } else {
       this._send(attempt, to, terms, payload);
@@ -84,7 +84,7 @@
   }
 
   /** Cancels an attempt; learns whether it had started if that is awaited. */
-  async cancel({ attempt, to, awaited }: Effects['cancel']['ask']): Promise<Effects['cancel']['reply']> {
+  async cancel({ attempt, to, awaited }: Effects['cancel']['params']): Promise<Effects['cancel']['reply']> {
     const word = this._cancel(attempt, to);
     return awaited ? word : { kind: 'unknown' };
   }
@@ -117,7 +117,7 @@
       if (end.kind === 'lost' && end.written && wanted && !terms.idempotent) {
         void this._lost(attempt, to, end, deadline);
       } else {
-        this._push({ kind: 'ended', attempt, end: offerEnd(end) });
+        this._push({ kind: 'ended', attempt, result: offerEnd(end) });
       }
     });
     this._running.set(attempt, exchanged);
@@ -130,7 +130,7 @@
   private async _lost(attempt: string, to: Candidate, end: Extract<ExchangeEnd, { kind: 'lost' }>, deadline: number): Promise<void> {
     const neverTook = await this._deps.neverTook(to, attempt);
     const written = !neverTook || monotonicMs() >= deadline;
-    this._push({ kind: 'ended', attempt, end: { ...end, written } });
+    this._push({ kind: 'ended', attempt, result: { ...end, written } });
   }
 
   private _push(event: CallEvent): void {
@@ -143,7 +143,7 @@
 }
 
 /** Reads the gate's answer. One that can't be read is as good as lost. */
-function offerEnd(end: ExchangeEnd): OfferEnd {
+function offerEnd(end: ExchangeEnd): OfferResult {
   if (end.kind === 'lost') {
     return end;
   }
@@ -169,7 +169,7 @@
 }
 
 /** The gate's answer as it travels. */
-export function verdictHeader(end: OfferEnd): string {
+export function verdictHeader(end: OfferResult): string {
   if (end.kind === 'lost') {
     return JSON.stringify({ kind: 'lost', unspent: 0, level: kAllOpen, retriedBelow: false, load: 0, limit: 1 });
   }
--- a/packages/daemon/src/app/claimService.ts
+++ b/packages/daemon/src/app/claimService.ts
@@ -5,7 +5,15 @@
 
 /** Claims streams: indexes of the shards that this daemon has to do with, and the daemon that batches for each shard. */
 
-import { type AppendEnd, claimInLog, type ClaimedInLog, ClaimIndex, type MemberView, type ReadEnd, runProcedure } from '@gentiandrum/core';
+import {
+  type AppendResult,
+  claimInLog,
+  type ClaimedInLog,
+  ClaimIndex,
+  type MemberView,
+  type ReadResult,
+  runProcedure,
+} from '@gentiandrum/core';
 import { type ClaimRecord, claimStream } from '@gentiandrum/protocol';
 import { GroupAppender } from '../client/groupAppender.js';
 import type { LogClient } from '../client/logClient.js';
@@ -42,12 +50,12 @@
   }
 
   /** Appends a claim with the next group of its shard. */
-  append(shard: number, record: ClaimRecord): Promise<AppendEnd> {
+  append(shard: number, record: ClaimRecord): Promise<AppendResult> {
     return this._shard(shard).appender.append(record);
   }
 
   /** Reads a shard's stream up to an offset, or to its end. */
-  read(shard: number, upTo?: number): Promise<ReadEnd> {
+  read(shard: number, upTo?: number): Promise<ReadResult> {
     return this._shard(shard).tail.readUpTo(upTo);
   }
 
--- a/packages/daemon/src/app/configService.ts
+++ b/packages/daemon/src/app/configService.ts
@@ -10,13 +10,13 @@
 
 import { type Config, kConfigStream, kSnapshotStream, type PatchRecord } from '@gentiandrum/protocol';
 import {
-  type AppendEnd,
+  type AppendResult,
   ConfigFold,
   type MemberView,
-  type ReadEnd,
+  type ReadResult,
   runProcedure,
   refreshSnapshot,
-  type Submitted,
+  type SubmitResult,
   submitPatch,
 } from '@gentiandrum/core';
 import type { LogClient } from '../client/logClient.js';
@@ -107,17 +107,17 @@
   }
 
   /** Folds the log up to an offset, or to its end. */
-  read(upTo?: number): Promise<ReadEnd> {
+  read(upTo?: number): Promise<ReadResult> {
     return this._tail.readUpTo(upTo);
   }
 
   /** Adopts the latest snapshot in the log. */
-  readSnapshots(): Promise<ReadEnd> {
+  readSnapshots(): Promise<ReadResult> {
     return this._snapshots.readUpTo();
   }
 
   /** Submits an operator's patch. */
-  submit(record: PatchRecord): Promise<Submitted> {
+  submit(record: PatchRecord): Promise<SubmitResult> {
     return runProcedure(submitPatch(record, this.fold), {
       readConfig: ({ upTo }) => this.read(upTo),
       appendPatch: (effect) => this._log.append(kConfigStream, effect.record),
@@ -174,7 +174,7 @@
   }
 
   /** Appends a snapshot. */
-  private async _appendSnapshot(): Promise<AppendEnd> {
+  private async _appendSnapshot(): Promise<AppendResult> {
     const end = await this._log.append(kSnapshotStream, this.fold.snapshot(textDigest));
     if (end.kind === 'appended') {
       this._snapshotOffset = this.fold.next;
--- a/packages/daemon/src/app/daemon.ts
+++ b/packages/daemon/src/app/daemon.ts
@@ -15,7 +15,7 @@
   plannedStop,
   RetryLedger,
   runProcedure,
-  TakenOffers,
+  AcceptedOffers,
   TargetPicker,
   type TargetState,
 } from '@gentiandrum/core';
@@ -61,7 +61,7 @@
   readonly meter: ControlMeter;
   readonly suspects: SuspectService;
   /** Offers of other daemons, by the connections that they came over. */
-  readonly taken = new TakenOffers<Socket>();
+  readonly taken = new AcceptedOffers<Socket>();
   readonly incarnation: number;
   private readonly _pools = new Pools(kPeerConnections);
   private readonly _logPools = new Pools(4);
@@ -186,7 +186,7 @@
       readSnapshots: () => this.config.readSnapshots(),
       readConfig: ({ upTo }) => this.config.read(upTo),
       appendMember: () => this._appendMember(false),
-      askPeers: () => this._askPeers(),
+      queryPeers: () => this._askPeers(),
       sleep: ({ ms }) => pause(ms),
     });
     this.logger.info('start', `Started with configuration version ${version} from ${source}.`, { version, source });
@@ -224,7 +224,7 @@
         limitMs: this.settings.limits.stopMs,
       }),
       {
-        spreadWord: async () => {
+        notifyPeers: async () => {
           await this.members.spreadLeave();
           return undefined;
         },
--- a/packages/daemon/src/app/offerService.ts
+++ b/packages/daemon/src/app/offerService.ts
@@ -6,16 +6,16 @@
 /** The gate's side of a call: takes offers, forwards what starts to the target, and cancels. */
 
 import {
-  type AdmitEnd,
+  type AdmissionResult,
   type ErrorKind,
-  type ForwardEnd,
+  type ForwardResult,
   type GateCall,
   gateCall,
   kAllOpen,
   kOpeningOnTheWay,
   type GateEvents,
   monotonicMs,
-  type OfferEnd,
+  type OfferResult,
   type Payload,
   type RetryLedger,
   RootFilter,
@@ -54,7 +54,7 @@
 
 /** Gate side of one daemon. */
 export class OfferService implements GateEvents<GateCall> {
-  private readonly _waiting = new Map<string, (end: AdmitEnd) => void>();
+  private readonly _waiting = new Map<string, (end: AdmissionResult) => void>();
   private readonly _forwarding = new Map<string, Forwarding>();
   private readonly _terms = new Map<string, OfferTerms>();
   private readonly _seen = new Set<string>();
@@ -79,16 +79,16 @@
   }
 
   /** Takes an offer through the gate. */
-  async offer(terms: OfferTerms, payload: Payload): Promise<OfferEnd> {
+  async offer(terms: OfferTerms, payload: Payload): Promise<OfferResult> {
     const { target, ledger, decisions, suspects } = this._deps;
     const local = target();
     const ctx = {
       gate: local.gate,
       target: local.announcement?.target ?? '',
       ledger,
-      below: this._below,
-      seen: { add: (attempt: string) => this._markSeen(attempt) },
-      decide: decisions.add.bind(decisions),
+      downstream: this._below,
+      seenAttempts: { add: (attempt: string) => this._markSeen(attempt) },
+      logDecision: decisions.add.bind(decisions),
     };
     const size = payload.body.byteLength;
     if (this._bytes + size > this._deps.inFlightBytes) {
@@ -112,7 +112,7 @@
         );
       }
       const end = await runProcedure(gateCall(terms, payload, ctx), {
-        admitted: ({ attempt }) => this._awaitAdmission(attempt),
+        awaitAdmission: ({ attempt }) => this._awaitAdmission(attempt),
         forward: ({ attempt, payload: sent, deadline }) => this._forward(attempt, sent, deadline),
       });
       return withSuspicion(end, () => suspects.known(terms, payload));
@@ -150,19 +150,19 @@
     return true;
   }
 
-  private _awaitAdmission(attempt: string): Promise<AdmitEnd> {
+  private _awaitAdmission(attempt: string): Promise<AdmissionResult> {
     return new Promise((resolve) => {
       this._waiting.set(attempt, resolve);
     });
   }
 
-  private _admit(attempt: string, end: AdmitEnd): void {
+  private _admit(attempt: string, end: AdmissionResult): void {
     const resolve = this._waiting.get(attempt);
     this._waiting.delete(attempt);
     resolve?.(end);
   }
 
-  private _forward(attempt: string, payload: Payload, deadline: number): Promise<ForwardEnd> {
+  private _forward(attempt: string, payload: Payload, deadline: number): Promise<ForwardResult> {
     const announcement = this._deps.target().announcement;
     const terms = this._terms.get(attempt);
     if (!announcement || !terms) {
@@ -194,7 +194,7 @@
   }
 
   /** The end of a run, once it is known what it says of the call's kind. */
-  private async _judged(attempt: string, end: ExchangeEnd, asked: 'timeout' | 'cancelled' | undefined): Promise<ForwardEnd> {
+  private async _judged(attempt: string, end: ExchangeEnd, asked: 'timeout' | 'cancelled' | undefined): Promise<ForwardResult> {
     const { suspects } = this._deps;
     // A failure may have come before the work that ends the target.
     if (end.kind === 'answered' && end.status < 500) {
@@ -232,7 +232,7 @@
 }
 
 /** Whoever sends the call on should know what is held against its kind, also before word of it has come. */
-function withSuspicion(end: OfferEnd, known: () => Suspicion | undefined): OfferEnd {
+function withSuspicion(end: OfferResult, known: () => Suspicion | undefined): OfferResult {
   if (end.kind !== 'failed' && end.kind !== 'refused') {
     return end;
   }
@@ -240,7 +240,7 @@
   return suspicion ? { ...end, suspicion } : end;
 }
 
-function forwardEnd(end: ExchangeEnd, asked: 'timeout' | 'cancelled' | undefined): ForwardEnd {
+function forwardEnd(end: ExchangeEnd, asked: 'timeout' | 'cancelled' | undefined): ForwardResult {
   switch (end.kind) {
     case 'answered':
       return { kind: 'answered', answer: { status: end.status, headers: end.headers, body: end.body } };
--- a/packages/daemon/src/app/peerCodec.ts
+++ b/packages/daemon/src/app/peerCodec.ts
@@ -6,7 +6,7 @@
 /** Between the core's records and the messages of the peer protocol. */
 
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
-import type { Member, MemberState, Served, Suspicion, TargetState } from '@gentiandrum/core';
+import type { Member, MemberState, ServeResult, Suspicion, TargetState } from '@gentiandrum/core';
 import {
   type Suspicion as SuspicionMsg,
   type Member as MemberMsg,
@@ -67,7 +67,7 @@
 }
 
 /** Recorded end → its JSON part and its body. */
-export function encodeServed(served: Served): { served: string; body: Uint8Array } {
+export function encodeServed(served: ServeResult): { served: string; body: Uint8Array } {
   if (served.kind === 'error') {
     return { served: JSON.stringify(served), body: new Uint8Array() };
   }
@@ -76,8 +76,8 @@
 }
 
 /** JSON part and body → recorded end. */
-export function decodeServed(text: string, body: Uint8Array): Served {
-  const served = JSON.parse(text) as Served;
+export function decodeServed(text: string, body: Uint8Array): ServeResult {
+  const served = JSON.parse(text) as ServeResult;
   return served.kind === 'error' ? served : { kind: 'answer', answer: { ...served.answer, body } };
 }
 
--- a/packages/daemon/src/app/suspectOffers.ts
+++ b/packages/daemon/src/app/suspectOffers.ts
@@ -7,7 +7,7 @@
 
 import {
   hashText,
-  identityOfCall,
+  requestIdentity,
   monotonicMs,
   type Payload,
   type RequestIdentity,
@@ -57,7 +57,7 @@
     this.waitUntil = monotonicMs() + terms.remainingMs * kWaitShare;
   }
 
-  readonly identity = (): RequestIdentity => identityOfCall(this.service, this._payload);
+  readonly identity = (): RequestIdentity => requestIdentity(this.service, this._payload);
 }
 
 /** Suspects at the gate of one daemon. */
@@ -103,7 +103,7 @@
 
   /** What is held against the kind of an offer. */
   known({ service }: OfferTerms, payload: Payload): Suspicion | undefined {
-    return this._deps.suspects.assess(() => identityOfCall(service, payload))?.suspicion;
+    return this._deps.suspects.assess(() => requestIdentity(service, payload))?.suspicion;
   }
 
   /** An offer is over, whether it ran or not. */
--- a/packages/daemon/src/client/groupAppender.ts
+++ b/packages/daemon/src/client/groupAppender.ts
@@ -5,7 +5,7 @@
 
 /** Appends in groups: what comes while an append is under way goes with the next one. */
 
-import { type AppendEnd, monotonicMs } from '@gentiandrum/core';
+import { type AppendResult, monotonicMs } from '@gentiandrum/core';
 
 /**
  * Shortest time between two appends of one stream, in milliseconds. With 16 shards in two regions all claims together then
@@ -16,7 +16,7 @@
 
 interface Waiting<T> {
   record: T;
-  done: (end: AppendEnd) => void;
+  done: (end: AppendResult) => void;
 }
 
 /** Group commit for one stream. */
@@ -26,10 +26,10 @@
   private _lastAt = -Infinity;
 
   /** @param _append appends one group as one record */
-  constructor(private readonly _append: (group: T[]) => Promise<AppendEnd>) {}
+  constructor(private readonly _append: (group: T[]) => Promise<AppendResult>) {}
 
   /** Appends a record with the next group. */
-  append(record: T): Promise<AppendEnd> {
+  append(record: T): Promise<AppendResult> {
     return new Promise((done) => {
       this._waiting.push({ record, done });
       void this._flush();
--- a/packages/daemon/src/client/logClient.ts
+++ b/packages/daemon/src/client/logClient.ts
@@ -5,7 +5,7 @@
 
 /** The platform's append-only log over HTTP, see docs/LOG-INTERFACE.md. */
 
-import type { AppendEnd } from '@gentiandrum/core';
+import type { AppendResult } from '@gentiandrum/core';
 import { appendReplySchema, type ReadReply, readReplySchema } from '@gentiandrum/protocol';
 import { exchange, type ExchangeEnd } from './httpExchange.js';
 import type { Pools } from './pools.js';
@@ -32,7 +32,7 @@
   ) {}
 
   /** Appends one record. No answer means that it may have taken effect. */
-  async append(stream: string, value: unknown): Promise<AppendEnd> {
+  async append(stream: string, value: unknown): Promise<AppendResult> {
     const body = Buffer.from(JSON.stringify({ value }));
     const end = await this._send('POST', `/streams/${stream}/records`, body, kAppendTimeoutMs);
     this.traffic.appends++;
--- a/packages/daemon/src/client/peerClient.ts
+++ b/packages/daemon/src/client/peerClient.ts
@@ -8,7 +8,7 @@
 import { create } from '@bufbuild/protobuf';
 import { type Client, createClient } from '@connectrpc/connect';
 import { createConnectTransport } from '@connectrpc/connect-node';
-import type { FetchEnd, KeyBid, KeyVerdict, Member, RelayEnd, Suspicion } from '@gentiandrum/core';
+import type { FetchResult, KeyBid, KeyVerdict, Member, RelayResult, Suspicion } from '@gentiandrum/core';
 import type { ClaimRecord } from '@gentiandrum/protocol';
 import {
   ClaimSchema,
@@ -74,7 +74,7 @@
   }
 
   /** Has another daemon append a claim. */
-  async relayClaim(address: string, shard: number, record: ClaimRecord): Promise<RelayEnd> {
+  async relayClaim(address: string, shard: number, record: ClaimRecord): Promise<RelayResult> {
     const claim = create(ClaimSchema, record);
     const res = await quiet(this._to(address).relayClaim({ shard, claim }, { timeoutMs: kClaimTimeoutMs }));
     if (!res) {
@@ -88,7 +88,7 @@
   }
 
   /** Asks the claimant of a key for its answer. */
-  async fetchAnswer(address: string, ask: { key: string; body: string; claimant: string; waitMs: number }): Promise<FetchEnd> {
+  async fetchAnswer(address: string, ask: { key: string; body: string; claimant: string; waitMs: number }): Promise<FetchResult> {
     const { key, body, claimant } = ask;
     const waitMs = Math.max(0, Math.floor(ask.waitMs));
     const req = { key, bodyDigest: body, claimant, waitMs };
--- a/packages/daemon/src/client/streamTail.ts
+++ b/packages/daemon/src/client/streamTail.ts
@@ -5,7 +5,7 @@
 
 /** Follows one stream of the log into something that folds it. */
 
-import type { ReadEnd } from '@gentiandrum/core';
+import type { ReadResult } from '@gentiandrum/core';
 import type { LogClient } from './logClient.js';
 
 /** What folds a stream. */
@@ -18,7 +18,7 @@
 
 /** Reader of one stream. Reads one after the other, so that records are folded in order. */
 export class StreamTail {
-  private _reading: Promise<ReadEnd> | undefined;
+  private _reading: Promise<ReadResult> | undefined;
 
   constructor(
     private readonly _log: LogClient,
@@ -27,7 +27,7 @@
   ) {}
 
   /** Folds the stream up to `upTo`, or to its present end. */
-  async readUpTo(upTo?: number): Promise<ReadEnd> {
+  async readUpTo(upTo?: number): Promise<ReadResult> {
     if (upTo !== undefined && this._fold.next > upTo) {
       return { kind: 'read' };
     }
@@ -43,11 +43,11 @@
   }
 
   /** Waits up to `waitMs` for new records, and folds them. */
-  async follow(waitMs: number): Promise<ReadEnd> {
+  async follow(waitMs: number): Promise<ReadResult> {
     return this._readPages(undefined, waitMs);
   }
 
-  private async _readPages(upTo: number | undefined, waitMs: number): Promise<ReadEnd> {
+  private async _readPages(upTo: number | undefined, waitMs: number): Promise<ReadResult> {
     for (;;) {
       const from = this._fold.next;
       const page = await this._log.read(this._stream, from, waitMs);
--- a/packages/daemon/src/server/callRoutes.ts
+++ b/packages/daemon/src/server/callRoutes.ts
@@ -6,7 +6,7 @@
 /** Routes that carry calls: from callers and targets to any service, and offers between daemons. */
 
 import { offerHeadSchema, kOfferHeader, kVerdictHeader, type OfferTerms } from '@gentiandrum/protocol';
-import { answerOf, failedWith, monotonicMs, type OfferEnd } from '@gentiandrum/core';
+import { answerOf, errorResult, monotonicMs, type OfferResult } from '@gentiandrum/core';
 import type { IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 import type { FastifyInstance, FastifyReply, FastifyRequest } from 'fastify';
@@ -43,7 +43,7 @@
     if (kind === 'internal_error') {
       daemon.logger.error('http', 'A request failed by a fault of the daemon.', { err: err.message });
     }
-    sendServed(reply, kNoId, failedWith(kind, answerOf(kind).outcome, err.message));
+    sendServed(reply, kNoId, errorResult(kind, answerOf(kind).outcome, err.message));
     return reply;
   });
 }
@@ -71,12 +71,12 @@
 
 async function takeCall(daemon: Daemon, req: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
   const badRequest = (detail: string): FastifyReply => {
-    sendServed(reply, kNoId, failedWith('bad_request', 'not_run', detail));
+    sendServed(reply, kNoId, errorResult('bad_request', 'not_run', detail));
     return reply;
   };
   const body = await readBody(req, daemon.settings.limits.bodyBytes);
   if (!body) {
-    sendServed(reply, kNoId, failedWith('body_too_large', 'not_run', `Expected at most ${daemon.settings.limits.bodyBytes} bytes.`));
+    sendServed(reply, kNoId, errorResult('body_too_large', 'not_run', `Expected at most ${daemon.settings.limits.bodyBytes} bytes.`));
     return reply;
   }
   const timeout = readTimeout(req);
@@ -89,7 +89,7 @@
   }
   const chain = daemon.tokens.read(req.headers);
   if (chain.kind === 'bad') {
-    sendServed(reply, kNoId, failedWith('bad_chain_token', 'not_run', 'Expected the token as the daemon gave it, whole.'));
+    sendServed(reply, kNoId, errorResult('bad_chain_token', 'not_run', 'Expected the token as the daemon gave it, whole.'));
     return reply;
   }
   const { service, payload } = readPayload(req, body);
@@ -122,7 +122,7 @@
   };
   reply.raw.on('close', onClose);
   noteOffer(daemon, req.raw.socket, from, terms);
-  const end: OfferEnd = await daemon.offers.offer(terms, { method, path, headers, body });
+  const end: OfferResult = await daemon.offers.offer(terms, { method, path, headers, body });
   reply.raw.off('close', onClose);
   if (end.kind === 'refused') {
     daemon.taken.refused(req.raw.socket, terms.attempt);
@@ -132,7 +132,7 @@
 
 function noteOffer({ taken }: Daemon, socket: Socket, from: string, { attempt, remainingMs, idempotent }: OfferTerms): void {
   const offer = idempotent ? undefined : { attempt, deadline: monotonicMs() + remainingMs };
-  if (taken.take(socket, from, offer)) {
+  if (taken.accept(socket, from, offer)) {
     socket.once('close', () => {
       taken.closed(socket, monotonicMs());
     });
--- a/packages/daemon/src/server/controlController.ts
+++ b/packages/daemon/src/server/controlController.ts
@@ -6,7 +6,7 @@
 /** Requests of operators and targets, below `/-/`. */
 
 import { Body, Controller, Get, Header, HttpCode, HttpException, Inject, Param, Post, Query } from '@nestjs/common';
-import { answerOf, type ErrorKind, kOpenLevel, type ListedSuspect, type Member, type Submitted, wallMs } from '@gentiandrum/core';
+import { answerOf, type ErrorKind, kOpenLevel, type ListedSuspect, type Member, type SubmitResult, wallMs } from '@gentiandrum/core';
 import { announcementSchema, patchRequestSchema } from '@gentiandrum/protocol';
 import type { LoggedDecision } from '../app/decisionLog.js';
 import { Daemon } from '../app/daemon.js';
@@ -59,7 +59,7 @@
   /** An operator's patch. */
   @Post('patches')
   @HttpCode(200)
-  async submit(@Body() body: Buffer): Promise<Submitted> {
+  async submit(@Body() body: Buffer): Promise<SubmitResult> {
     const checked = patchRequestSchema.safeParse(parseBody(body));
     if (!checked.success) {
       throw problem('bad_request', issuesText(checked.error.issues));
--- a/packages/daemon/src/server/problem.ts
+++ b/packages/daemon/src/server/problem.ts
@@ -5,7 +5,7 @@
 
 /** Answers to callers: whole answers of targets, and errors as problem+json (RFC 9457) from the one table. */
 
-import { answerOf, type Answer, type ErrorKind, type Served } from '@gentiandrum/core';
+import { answerOf, type TargetResponse, type ErrorKind, type ServeResult } from '@gentiandrum/core';
 import { kOutcomeHeader, kProblemType, kRequestIdHeader } from '@gentiandrum/protocol';
 import type { FastifyReply } from 'fastify';
 
@@ -38,7 +38,7 @@
 }
 
 /** Sends the end of a call to its caller. */
-export function sendServed(reply: FastifyReply, id: string, served: Served): void {
+export function sendServed(reply: FastifyReply, id: string, served: ServeResult): void {
   void reply.header(kRequestIdHeader, id);
   if (served.kind === 'answer') {
     sendAnswer(reply, served.answer);
@@ -47,7 +47,7 @@
   sendProblem(reply, id, served);
 }
 
-function sendAnswer(reply: FastifyReply, answer: Answer): void {
+function sendAnswer(reply: FastifyReply, answer: TargetResponse): void {
   for (const [name, value] of Object.entries(answer.headers)) {
     if (!kDropped.has(name)) {
       void reply.header(name, value);
@@ -56,7 +56,7 @@
   void reply.header(kOutcomeHeader, 'ran').code(answer.status).send(answer.body);
 }
 
-function sendProblem(reply: FastifyReply, id: string, served: Extract<Served, { kind: 'error' }>): void {
+function sendProblem(reply: FastifyReply, id: string, served: Extract<ServeResult, { kind: 'error' }>): void {
   const { error, outcome, detail, thisTryOnly } = served;
   const { status, title, repeat, retryAfter } = answerOf(error);
   const problem: Problem = {
--- a/packages/mesh/src/app/calls/callExchange.ts
+++ b/packages/mesh/src/app/calls/callExchange.ts
@@ -16,10 +16,10 @@
   type Offer,
   type PlacedEnd,
   type PlacedRoute,
-  type CallEnd,
+  type CallResult,
   type RequestWorkspace,
-  type RouteEnd,
-  isVain,
+  type RouteResult,
+  foundNoTarget,
   routeRequest,
   sparesTarget,
   type Suspects,
@@ -90,11 +90,11 @@
 }
 
 /** Final answer, or that time ran out before one came. */
-export type ExchangeEnd = RouteEnd | { kind: 'timed_out' };
+export type ExchangeEnd = RouteResult | { kind: 'timed_out' };
 
 /** One request under way. */
 export class CallExchange implements Due {
-  private readonly _procedure: Generator<Offer, RouteEnd, CallEnd>;
+  private readonly _procedure: Generator<Offer, RouteResult, CallResult>;
   private readonly _takenAt = monotonicMs();
   private _handle: OfferHandle | undefined;
   private _offers = 0;
@@ -112,9 +112,9 @@
     this._procedure = routeRequest(_req.route, {
       choose: (excluded) => this._choose(excluded),
       verdict: () => this._verdict(),
-      mayTry: () => this._mayTry(),
+      mayProbe: () => this._mayTry(),
       remainingMs: () => this._remainingMs(),
-      usefulMs: () => kUsefulMs,
+      minUsefulMs: () => kUsefulMs,
     });
   }
 
@@ -181,7 +181,7 @@
     return this._req.deadline - monotonicMs();
   }
 
-  private _advance(step: IteratorResult<Offer, RouteEnd>): void {
+  private _advance(step: IteratorResult<Offer, RouteResult>): void {
     if (this._ended) {
       return;
     }
@@ -212,12 +212,12 @@
     }
   }
 
-  private _note(target: TargetRecord, end: CallEnd, report: GateReport, tookMs: number): void {
+  private _note(target: TargetRecord, end: CallResult, report: GateReport, tookMs: number): void {
     const answered = end.kind === 'answered';
     this._remember(target, end, report, tookMs);
     const failed = end.kind === 'lost' ? end.reason !== 'cancelled' : answered && end.answer.status >= 500;
     // A gate that takes nothing, or is another host's by now, says nothing of the target that was meant, and must not look empty.
-    const vain = isVain(end);
+    const vain = foundNoTarget(end);
     const load = report.limit > 0 && !vain ? report : undefined;
     if (vain) {
       this._deps.avoid(target.host);
@@ -233,7 +233,7 @@
     });
   }
 
-  private _remember({ host }: TargetRecord, end: CallEnd, { inFlight, queued, limit }: GateReport, tookMs: number): void {
+  private _remember({ host }: TargetRecord, end: CallResult, { inFlight, queued, limit }: GateReport, tookMs: number): void {
     if (end.kind === 'answered' && end.answer.status < 500) {
       return;
     }
--- a/packages/mesh/src/app/calls/requestEntry.ts
+++ b/packages/mesh/src/app/calls/requestEntry.ts
@@ -6,11 +6,11 @@
 /** Takes requests through the procedure that lets them in or refuses them, and carries its questions to the owners of quotas. */
 
 import {
-  type AdmitSurroundings,
+  type AdmitContext,
   admitRequest,
-  type ArrivedRequest,
+  type EntryRequest,
   type ChainModel,
-  type EntryEnd,
+  type EntryResult,
   monotonicMs,
   type RequestWorkspace,
   RootAdmission,
@@ -39,7 +39,7 @@
 /** Entry of one daemon. */
 export class RequestEntry {
   private readonly _admission = new RootAdmission();
-  private readonly _around: AdmitSurroundings;
+  private readonly _around: AdmitContext;
 
   constructor(private readonly _deps: RequestEntryDeps) {
     this._around = {
@@ -47,15 +47,15 @@
       validUntil: () => _deps.validUntil(),
       now: monotonicMs,
       takeToken: (workspace, limits) => _deps.quotas.take(workspace, limits),
-      sheds: (route, rank, keyed) => this._sheds(route, rank, keyed),
+      shouldShed: (route, rank, keyed) => this._sheds(route, rank, keyed),
     };
   }
 
   /** Decides on a request; `done` may be called before this returns, and is not called once the caller has left. */
-  enter(req: ArrivedRequest, done: (end: EntryEnd) => void): Entering {
+  enter(req: EntryRequest, done: (end: EntryResult) => void): Entering {
     const procedure = admitRequest(req, this._around);
     const progress = { left: false };
-    const advance = (step: IteratorResult<TokenRequest, EntryEnd>): void => {
+    const advance = (step: IteratorResult<TokenRequest, EntryResult>): void => {
       if (step.done !== true) {
         this._deps.quotas.ask(step.value, (answer: TokenAnswer) => {
           advance(procedure.next(answer));
--- a/packages/mesh/src/app/calls/targetGate.ts
+++ b/packages/mesh/src/app/calls/targetGate.ts
@@ -18,7 +18,7 @@
   hashText,
   fingerprintOf,
   wallMs,
-  type CallEnd,
+  type CallResult,
   type ReachEvidence,
   type RepeatBound,
   RepeatBudget,
@@ -49,7 +49,7 @@
 const kNamedRequests = 60;
 
 /** Called once with the end of an offered call. */
-export type OfferDone = (end: CallEnd, report: GateReport) => void;
+export type OfferDone = (end: CallResult, report: GateReport) => void;
 
 /** An offered call that has not ended. */
 export interface OfferHandle {
@@ -468,7 +468,7 @@
   }
 
   /** Refused callers come back when what waits and runs now will have ended. */
-  private _refusal(reason: GateRefusal): CallEnd {
+  private _refusal(reason: GateRefusal): CallResult {
     this._deps.metrics.refused(reason);
     const { inFlight, queued, limit, meanMs } = this._gate;
     const drainMs = reason === 'not_accepting' ? 0 : ((inFlight + queued) / limit) * meanMs;
--- a/packages/mesh/src/app/latencyMetric.ts
+++ b/packages/mesh/src/app/latencyMetric.ts
@@ -5,13 +5,13 @@
 
 /** Latency histogram of requests, in the form that the metrics library serves. */
 
-import type { EntryEnd } from '@gentiandrum/core';
+import type { EntryResult } from '@gentiandrum/core';
 
 /** Bounds of the latency histogram, in seconds: from a call on the same host to the longest limits of routes. */
 export const kLatencyBounds = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
 
 /** How a request ended at the ingress. */
-export type RequestOutcome = 'answered' | 'target_failed' | 'not_run' | 'lost' | 'timed_out' | Exclude<EntryEnd['kind'], 'admitted'>;
+export type RequestOutcome = 'answered' | 'target_failed' | 'not_run' | 'lost' | 'timed_out' | Exclude<EntryResult['kind'], 'admitted'>;
 
 /** Requests that ended alike. */
 export interface RequestEnds {
--- a/packages/mesh/src/client/peerCalls.ts
+++ b/packages/mesh/src/client/peerCalls.ts
@@ -5,7 +5,7 @@
 
 /** Calls over links: those that this daemon sent and waits for, and those that others sent for its target. */
 
-import type { CallEnd, GateReport } from '@gentiandrum/core';
+import type { CallResult, GateReport } from '@gentiandrum/core';
 import type { OfferDone, OfferHandle } from '../app/calls/targetGate.js';
 import type { PeerLink } from './peerLink.js';
 import type { PeerCall } from './callCodec.js';
@@ -15,7 +15,7 @@
 const kNoLoad: GateReport = { inFlight: 0, queued: 0, limit: 0, meanMs: 0, level: 0, inner: undefined, height: 0, chargeMs: 0 };
 
 /** End of a call that came to, or was sent to, a daemon that stops and takes nothing any more. */
-const kNotTaken: CallEnd = { kind: 'not_run', reason: 'not_accepting', retryAfterMs: 0 };
+const kNotTaken: CallResult = { kind: 'not_run', reason: 'not_accepting', retryAfterMs: 0 };
 
 /** A call that was sent, and how often its link had been written to before. */
 interface SentCall {
@@ -113,7 +113,7 @@
   }
 
   /** A call that was sent has ended. */
-  settle(link: PeerLink, id: number, end: CallEnd, load: GateReport = kNoLoad): void {
+  settle(link: PeerLink, id: number, end: CallResult, load: GateReport = kNoLoad): void {
     const sent = this._byLink.get(link)?.sent;
     const call = sent?.get(id);
     if (call) {
@@ -162,7 +162,7 @@
   }
 }
 
-function replyOf(id: number, end: CallEnd, load: GateReport): PeerMessage {
+function replyOf(id: number, end: CallResult, load: GateReport): PeerMessage {
   switch (end.kind) {
     case 'answered':
       return { type: 'answer', id, answer: end.answer, load };
--- a/packages/mesh/src/client/peerMessages.ts
+++ b/packages/mesh/src/client/peerMessages.ts
@@ -8,7 +8,7 @@
  * come again and again (routes, services, headers) travel as short numbers once both ends know them.
  */
 
-import type { GateReport, GrantEnd, NotRunReason, Suspicion, TargetRecord, WholeAnswer } from '@gentiandrum/core';
+import type { GateReport, GrantEnd, NotRunReason, Suspicion, TargetRecord, CompleteResponse } from '@gentiandrum/core';
 import type { MeshConfig } from '@gentiandrum/protocol';
 import { Packr, Unpackr } from 'msgpackr';
 import { callFields, callFrom, headersFrom, loadFields, loadFrom, type PeerCall } from './callCodec.js';
@@ -23,7 +23,7 @@
   | { type: 'hello'; host: string; version: number; record: TargetRecord; digests: Digests }
   | { type: 'call'; id: number; call: PeerCall }
   | { type: 'cancel'; id: number }
-  | { type: 'answer'; id: number; answer: WholeAnswer; load: GateReport }
+  | { type: 'answer'; id: number; answer: CompleteResponse; load: GateReport }
   | { type: 'not_run'; id: number; reason: NotRunReason; retryAfterMs: number; load: GateReport }
   | { type: 'lost'; id: number; reason: string; load: GateReport }
   | { type: 'records'; records: TargetRecord[] }
--- a/packages/mesh/src/client/peerNetwork.ts
+++ b/packages/mesh/src/client/peerNetwork.ts
@@ -9,7 +9,7 @@
 
 import { createServer, type Server, type Socket } from 'node:net';
 import { setTimeout as pause } from 'node:timers/promises';
-import { type CallEnd, monotonicMs, RendezvousRank, type Suspicion, type TargetDirectory, type TargetRecord } from '@gentiandrum/core';
+import { type CallResult, monotonicMs, RendezvousRank, type Suspicion, type TargetDirectory, type TargetRecord } from '@gentiandrum/core';
 import type { MeshConfig } from '@gentiandrum/protocol';
 import { listenOn } from '../app/addresses.js';
 import type { EventLog } from '../app/eventLog.js';
@@ -364,7 +364,7 @@
   }
 }
 
-function callEndOf(message: Extract<PeerMessage, { type: 'answer' | 'not_run' | 'lost' }>): CallEnd {
+function callEndOf(message: Extract<PeerMessage, { type: 'answer' | 'not_run' | 'lost' }>): CallResult {
   switch (message.type) {
     case 'answer':
       return { kind: 'answered', answer: message.answer };
--- a/packages/mesh/src/client/targetClient.ts
+++ b/packages/mesh/src/client/targetClient.ts
@@ -8,7 +8,7 @@
  * connection.
  */
 
-import { type CallEnd, monotonicMs, type ReachEvidence } from '@gentiandrum/core';
+import { type CallResult, monotonicMs, type ReachEvidence } from '@gentiandrum/core';
 import { Deadlines, type Due } from '../app/calls/deadlines.js';
 import { HeaderReader } from '../http/headerReader.js';
 import { requestBytes } from '../http/messageText.js';
@@ -27,7 +27,7 @@
 
 /** How a run ended. */
 export interface RunEnd {
-  end: CallEnd;
+  end: CallResult;
   /** Whether the target itself answered, so that its time tells something of it. */
   answered: boolean;
 }
--- a/packages/mesh/src/server/callServer.ts
+++ b/packages/mesh/src/server/callServer.ts
@@ -6,7 +6,7 @@
 /** Takes callers' requests over HTTP/1.1, whole, and gives each its final answer. */
 
 import { createServer, type Server } from 'node:net';
-import { type EntryEnd, monotonicMs, readCredentials, type RequestWorkspace } from '@gentiandrum/core';
+import { type EntryResult, monotonicMs, readCredentials, type RequestWorkspace } from '@gentiandrum/core';
 import type { MeshConfig } from '@gentiandrum/protocol';
 import { listenOn } from '../app/addresses.js';
 import { CallExchange, type ExchangeDeps, type ExchangeEnd } from '../app/calls/callExchange.js';
@@ -137,7 +137,7 @@
     this._connections.delete(connection);
   }
 
-  private _entered(req: CallerRequest, end: EntryEnd): void {
+  private _entered(req: CallerRequest, end: EntryResult): void {
     req.begun = true;
     if (end.kind === 'admitted') {
       this._deps.chains.entered(end.route.name);
@@ -163,7 +163,7 @@
     this._refuse(req, status, detail, retryAfterMs, headers);
   }
 
-  private _exchange(req: CallerRequest, { route, service, rank, workspace }: Extract<EntryEnd, { kind: 'admitted' }>): void {
+  private _exchange(req: CallerRequest, { route, service, rank, workspace }: Extract<EntryResult, { kind: 'admitted' }>): void {
     const { requestId, remainingMs } = req.headers;
     const exchange = new CallExchange(
       {
--- a/packages/mesh/src/server/entryRefusals.ts
+++ b/packages/mesh/src/server/entryRefusals.ts
@@ -5,12 +5,12 @@
 
 /** What callers, logs and metrics are told of a request that was refused where it entered: one table for all outcomes. */
 
-import { type EntryEnd, loggedKey } from '@gentiandrum/core';
+import { type EntryResult, loggedKey } from '@gentiandrum/core';
 import type { EventFields } from '../app/eventLog.js';
 import type { RequestOutcome } from '../app/latencyMetric.js';
 
 /** A request that was refused where it entered. */
-export type RefusedEntry = Exclude<EntryEnd, { kind: 'admitted' }>;
+export type RefusedEntry = Exclude<EntryResult, { kind: 'admitted' }>;
 
 /** How a refusal is told. */
 export interface EntryRefusal {
--- a/tests/claims/claims.spec.ts
+++ b/tests/claims/claims.spec.ts
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { AnswerStore, ClaimIndex, KeySettler, type Served } from '@gentiandrum/core';
+import { AnswerStore, ClaimIndex, KeySettler, type ServeResult } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 function claim(key: string, nonce: string, released?: boolean): Record<string, unknown> {
   return { key, nonce, claimant: `${nonce}/1`, address: nonce, body: 'body', released };
 }
 
-function answer(bytes: number): Served {
+function answer(bytes: number): ServeResult {
   return { kind: 'answer', answer: { status: 200, headers: {}, body: new Uint8Array(bytes) } };
 }
 
@@ -65,7 +65,7 @@
 
   it('should wake who waits, with the answer or with the word that there is none', (t) => {
     const store = new AnswerStore(10_000);
-    const heard: (Served | undefined)[] = [];
+    const heard: (ServeResult | undefined)[] = [];
     store.begin('k', 'body');
     store.wait('k', (served) => heard.push(served));
     store.record('k', answer(1));
--- a/tests/matrix/journal.ts
+++ b/tests/matrix/journal.ts
@@ -5,7 +5,7 @@
 
 /** What happened in one cell, as the checkers need it. */
 
-import type { Served } from '@gentiandrum/core';
+import type { ServeResult } from '@gentiandrum/core';
 
 /** A try of a request by its caller. */
 export interface Try {
@@ -17,7 +17,7 @@
   rank: number;
   allowance: number;
   /** How it ended; undefined when the daemon died, or the caller hung up. */
-  served: Served | undefined;
+  served: ServeResult | undefined;
 }
 
 /** A run of a call at a target. */
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -6,9 +6,9 @@
 /** One daemon of the matrix: the core's real objects, and nothing else. */
 
 import {
-  type AdmitEnd,
+  type AdmissionResult,
   AnswerStore,
-  type Answer,
+  type TargetResponse,
   type Candidate,
   ClaimIndex,
   ConfigFold,
@@ -51,7 +51,7 @@
   readonly settler = new KeySettler();
   readonly index = new ClaimIndex(kClaims);
   readonly fold = new ConfigFold();
-  readonly waiting = new Map<string, (end: AdmitEnd) => void>();
+  readonly waiting = new Map<string, (end: AdmissionResult) => void>();
   readonly running = new Map<string, () => void>();
   readonly onDeath = new Set<() => void>();
   readonly gate: Gate<GateCall>;
@@ -82,11 +82,11 @@
       gate: this.gate,
       target: id,
       ledger: this.ledger,
-      below: new RootFilter(() => 'goodput'),
-      seen: {
+      downstream: new RootFilter(() => 'goodput'),
+      seenAttempts: {
         add: (attempt) => !this.seen.has(attempt) && this.seen.add(attempt) === this.seen,
       },
-      decide: () => undefined,
+      logDecision: () => undefined,
     };
     this.serve = this._makeServe(journal);
   }
@@ -106,11 +106,11 @@
   }
 
   /** Tells a call that waits at the gate what became of it. */
-  admit(attempt: string, end: AdmitEnd): void {
+  admit(attempt: string, end: AdmissionResult): void {
     this._admit(attempt, end);
   }
 
-  private _admit(attempt: string, end: AdmitEnd): void {
+  private _admit(attempt: string, end: AdmissionResult): void {
     const resume = this.waiting.get(attempt);
     this.waiting.delete(attempt);
     resume?.(end);
@@ -123,8 +123,8 @@
       daemon: { id, incarnation: this.incarnation, address: id },
       stopping: () => this.stopping,
       candidates,
-      unreachable: () => undefined,
-      absent: () => 0,
+      onUnreachable: () => undefined,
+      unavailableTargets: () => 0,
       suspects: new Suspects({ broadcast: () => undefined, sendSome: () => undefined, note: () => undefined }),
       picker: new TargetPicker(id, 'one', seededRandom(1)),
       rootFilter: new RootFilter(() => 'goodput'),
@@ -134,7 +134,7 @@
       settler: this.settler,
       claimShard: () => ({ shard: 0, index: this.index, relay }),
       newId,
-      decide: ({ step, request }) => {
+      logDecision: ({ step, request }) => {
         if (step === 'retry' || step === 'compete') {
           journal.retried(rootOf(request));
         }
@@ -144,6 +144,6 @@
 }
 
 /** Text of an answer's body. */
-export function textOf(answer: Answer): string {
+export function textOf(answer: TargetResponse): string {
   return Buffer.from(answer.body).toString();
 }
--- a/tests/matrix/matrixPeers.ts
+++ b/tests/matrix/matrixPeers.ts
@@ -5,7 +5,7 @@
 
 /** What daemons of the matrix ask each other about keys. */
 
-import { type Effect, lookUpAnswer, releaseClaim, type Reply, type Served } from '@gentiandrum/core';
+import { type Effect, lookUpAnswer, releaseClaim, type Reply, type ServeResult } from '@gentiandrum/core';
 import type { Fault } from './faults.js';
 import { kClaimStream } from './matrixLog.js';
 import type { MatrixDaemon } from './matrixDaemon.js';
@@ -108,7 +108,7 @@
   /** Waits for the running call of a key. */
   join(daemon: MatrixDaemon, effect: EffectOf<'joinRunning'>, resume: Resume, fault: Fault | undefined): void {
     let open = true;
-    const end = (served: Served | undefined): void => {
+    const end = (served: ServeResult | undefined): void => {
       if (open) {
         open = false;
         resume(served);
--- a/tests/matrix/matrixWorld.ts
+++ b/tests/matrix/matrixWorld.ts
@@ -15,12 +15,12 @@
   type ConfigFold,
   type Effect,
   gateCall,
-  type OfferEnd,
+  type OfferResult,
   type Procedure,
   rankOf,
   type Reply,
   serveCall,
-  type Served,
+  type ServeResult,
 } from '@gentiandrum/core';
 import { kConfigStream, kSnapshotStream, type OfferTerms } from '@gentiandrum/protocol';
 import { VirtualTime } from '../support/virtualTime.js';
@@ -86,7 +86,7 @@
   }
 
   /** Sends a request; `then` hears how it ended, with undefined when its daemon died. */
-  send(at: string, req: Request, then: (served: Served | undefined) => void = () => undefined): void {
+  send(at: string, req: Request, then: (served: ServeResult | undefined) => void = () => undefined): void {
     const daemon = this.daemon(at);
     const id = `q${this._ids++}`;
     const call = this._rootCall(daemon, id, req);
@@ -98,10 +98,10 @@
       idempotent: cls.idempotent,
       rank: rankOf(call.chain),
       allowance: cls.retries,
-      served: undefined as Served | undefined,
+      served: undefined as ServeResult | undefined,
     };
     this.journal.tries.push(entry);
-    const finish = (served: Served | undefined): void => {
+    const finish = (served: ServeResult | undefined): void => {
       entry.served = served;
       then(served);
     };
@@ -182,7 +182,7 @@
     return daemon;
   }
 
-  private _serve(daemon: MatrixDaemon, call: Call, session: Session | undefined, finish: (served: Served | undefined) => void): void {
+  private _serve(daemon: MatrixDaemon, call: Call, session: Session | undefined, finish: (served: ServeResult | undefined) => void): void {
     const lost = (): void => {
       finish(undefined);
     };
@@ -300,7 +300,7 @@
       case 'joinRunning':
         this._peers.join(daemon, effect, resume, fault);
         return;
-      case 'admitted':
+      case 'awaitAdmission':
         daemon.waiting.set(effect.attempt, resume);
         return;
       case 'forward':
@@ -322,13 +322,13 @@
       case 'appendSnapshot':
         this.log.append(kSnapshotStream, daemon.fold.snapshot(digest), reply, fault);
         return;
-      case 'askPeers':
+      case 'queryPeers':
         this._askPeers(daemon, reply, fault);
         return;
       case 'appendMember':
         this.log.append('members', { id: daemon.plan.id, goodbye: effect.goodbye }, reply, fault);
         return;
-      case 'spreadWord':
+      case 'notifyPeers':
         reply(undefined);
         return;
       case 'sleep':
@@ -348,9 +348,9 @@
 
   private _offer(effect: EffectOf<'offer'>, session: Session | undefined, fault: Fault | undefined): void {
     const { attempt, to, terms } = effect;
-    const end = (value: OfferEnd, ms = kHopMs): void => {
+    const end = (value: OfferResult, ms = kHopMs): void => {
       this.time.after(fault === 'late' ? ms + kLateMs : ms, () => {
-        session?.push({ kind: 'ended', attempt, end: value });
+        session?.push({ kind: 'ended', attempt, result: value });
       });
     };
     const target = this.daemon(to.daemon);
@@ -365,7 +365,7 @@
     const lost = (): void => {
       end({ kind: 'lost', written: kAdapter.lostMayHaveRun });
     };
-    const arrive = (report: (value: OfferEnd) => void): void => {
+    const arrive = (report: (value: OfferResult) => void): void => {
       target.onDeath.add(lost);
       this.run(target, gateCall(terms, effect.payload, this._gateContext(target, terms)), (value) => {
         target.onDeath.delete(lost);
@@ -394,7 +394,7 @@
     };
     return {
       ...target.gateContext,
-      decide: ({ reason }) => {
+      logDecision: ({ reason }) => {
         note(reason);
       },
     };
@@ -423,7 +423,7 @@
     if (waiting) {
       target.admit(effect.attempt, { kind: 'cancelled' });
     }
-    const unseen = !waiting && target.gateContext.seen.add(effect.attempt);
+    const unseen = !waiting && target.gateContext.seenAttempts.add(effect.attempt);
     target.running.get(effect.attempt)?.();
     const kind = waiting || unseen ? 'before_start' : 'started';
     reply({ kind: fault === 'lost_after' ? 'unknown' : kind });
--- a/tests/membership/takenOffers.spec.ts
+++ b/tests/membership/takenOffers.spec.ts
@@ -5,7 +5,7 @@
 
 /** What a daemon that leaves can prove of the offers that it took; the story is told in `e2e/leavingDaemon`. */
 
-import { type Effect, type Member, plannedStop, provesNeverTaken, type Reply, TakenOffers } from '@gentiandrum/core';
+import { type Effect, type Member, plannedStop, provesNeverTaken, type Reply, AcceptedOffers } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 const kDeadline = 1_000;
@@ -18,21 +18,21 @@
 
 describe('offers that a daemon took', () => {
   it('should be named until the next one on their connection shows that the answer was read', (t) => {
-    const taken = new TakenOffers<object>();
+    const taken = new AcceptedOffers<object>();
     const connection = {};
-    t.true(taken.take(connection, 'a1', offer('first')));
+    t.true(taken.accept(connection, 'a1', offer('first')));
     t.deepEqual(taken.leaveProof(0), { unsettled: ['first'] });
-    t.false(taken.take(connection, 'a1', offer('second')));
+    t.false(taken.accept(connection, 'a1', offer('second')));
     t.deepEqual(taken.leaveProof(0), { unsettled: ['second'] });
-    t.false(taken.take(connection, 'a1', undefined));
+    t.false(taken.accept(connection, 'a1', undefined));
     t.deepEqual(taken.leaveProof(0), { unsettled: [] });
     t.deepEqual(taken.senders, ['a1']);
   });
 
   it('should be named after the end of their connection, whoever ended it, until nobody can wait any more', (t) => {
-    const taken = new TakenOffers<object>();
+    const taken = new AcceptedOffers<object>();
     const connection = {};
-    taken.take(connection, 'a1', offer('first'));
+    taken.accept(connection, 'a1', offer('first'));
     taken.closed(connection, 0);
     t.deepEqual(taken.senders, ['a1']);
     t.deepEqual(taken.leaveProof(kDeadline + kNamedAfterMs - 1), { unsettled: ['first'] });
@@ -40,32 +40,32 @@
   });
 
   it('should not be named once their sender said that it has no open offers', (t) => {
-    const taken = new TakenOffers<object>();
+    const taken = new AcceptedOffers<object>();
     const ended = {};
-    taken.take(ended, 'a1', offer('first'));
+    taken.accept(ended, 'a1', offer('first'));
     taken.closed(ended, 0);
-    taken.take({}, 'a1', offer('second'));
-    taken.take({}, 'a2', offer('third'));
+    taken.accept({}, 'a1', offer('second'));
+    taken.accept({}, 'a2', offer('third'));
     taken.released('a1');
     t.deepEqual(taken.senders, ['a2']);
     t.deepEqual(taken.leaveProof(0), { unsettled: ['third'] });
   });
 
   it('should not be named when they were refused, also after the end of their connection', (t) => {
-    const taken = new TakenOffers<object>();
+    const taken = new AcceptedOffers<object>();
     const [one, other] = [{}, {}];
-    taken.take(one, 'a1', offer('first'));
+    taken.accept(one, 'a1', offer('first'));
     taken.refused(one, 'first');
-    taken.take(other, 'a1', offer('second'));
+    taken.accept(other, 'a1', offer('second'));
     taken.closed(other, 0);
     taken.refused(other, 'second');
     t.deepEqual(taken.leaveProof(0), { unsettled: [] });
   });
 
   it('should prove nothing when there are too many to name', (t) => {
-    const taken = new TakenOffers<object>();
+    const taken = new AcceptedOffers<object>();
     for (let i = 0; i <= 50; i++) {
-      taken.take({}, 'a1', offer(`attempt ${i}`));
+      taken.accept({}, 'a1', offer(`attempt ${i}`));
     }
     t.is(taken.leaveProof(0), undefined);
   });
@@ -109,7 +109,7 @@
     for (let step = stop.next(); step.done !== true; step = stop.next(replyTo(step.value))) {
       steps.push(step.value.type);
     }
-    t.deepEqual(steps, ['leaving', 'close', 'spreadWord', 'sleep', 'awaitIdle', 'awaitSenders', 'left', 'spreadWord', 'appendMember']);
+    t.deepEqual(steps, ['leaving', 'close', 'notifyPeers', 'sleep', 'awaitIdle', 'awaitSenders', 'left', 'notifyPeers', 'appendMember']);
   });
 });
 
--- a/tests/mesh/callExchange.spec.ts
+++ b/tests/mesh/callExchange.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { type CallEnd, ChainModel, type GateReport, type TargetRecord } from '@gentiandrum/core';
+import { type CallResult, ChainModel, type GateReport, type TargetRecord } from '@gentiandrum/core';
 import { CallExchange, Deadlines, type ExchangeDeps, type ExchangeEnd, type RoutedRequest } from '@gentiandrum/mesh';
 import type { Route } from '@gentiandrum/protocol';
 import { describe, it } from '../support/describe.js';
@@ -26,7 +26,7 @@
   return { host, zone: 'z1', peers: '', service: 'reads', instance: `i-${host}`, state: 'ready', slots: 16, epoch: 1, revision: 1 };
 }
 
-function run(ends: CallEnd[]): { exchange: CallExchange; end: ExchangeEnd | undefined } {
+function run(ends: CallResult[]): { exchange: CallExchange; end: ExchangeEnd | undefined } {
   const targets = ends.map((_, i) => target(`h${i + 1}`));
   const result: { end: ExchangeEnd | undefined } = { end: undefined };
   let next = 0;
--- a/tests/mesh/links.spec.ts
+++ b/tests/mesh/links.spec.ts
@@ -8,7 +8,7 @@
 import { once } from 'node:events';
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { Duplex } from 'node:stream';
-import type { CallEnd } from '@gentiandrum/core';
+import type { CallResult } from '@gentiandrum/core';
 import { MessageReader, MessageWriter, type PeerCall, PeerCalls, PeerLink, type PeerMessage } from '@gentiandrum/mesh';
 import { describe, itAlone } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
@@ -185,7 +185,7 @@
   });
 
   itAlone('should tell that a call was not run which was not yet written when the link ended', (t) => {
-    const ends: CallEnd[] = [];
+    const ends: CallResult[] = [];
     const calls = new PeerCalls(() => ({ cancel: () => undefined }));
     const socket = new Duplex({ read: () => undefined, write: () => undefined });
     const link = new PeerLink(Object.assign(socket, { setNoDelay: () => socket }) as unknown as Socket, {
--- a/tests/quarantine/quarantineFleet.ts
+++ b/tests/quarantine/quarantineFleet.ts
@@ -6,12 +6,12 @@
 /** A fleet on virtual time: the product's decisions on suspects, with targets that end, and messages that are late, lost, repeated or cut. */
 
 import {
-  type CallEnd,
+  type CallResult,
   hashText,
   monotonicMs,
   type Offer,
   type RequestIdentity,
-  type RouteEnd,
+  type RouteResult,
   routeRequest,
   sparesTarget,
   type SuspectCall,
@@ -49,12 +49,12 @@
 /** What became of one request. */
 export interface Outcome {
   kind: Kind;
-  end: RouteEnd | 'unfinished';
+  end: RouteResult | 'unfinished';
 }
 
 interface ModelCall extends SuspectCall {
   kind: Kind;
-  reply: (end: CallEnd) => void;
+  reply: (end: CallResult) => void;
 }
 
 /** One host: its daemon, and the target beside it. */
@@ -171,15 +171,15 @@
           return open[Math.floor(this._random() * open.length)];
         },
         verdict,
-        mayTry: () => {
+        mayProbe: () => {
           const ready = candidates().length;
           return sparesTarget({ ready, unreachable: this.hosts.length - ready }, host.suspects.quietMs(suspicion()?.fingerprint ?? ''));
         },
         remainingMs: () => deadline - monotonicMs(),
-        usefulMs: () => 5,
+        minUsefulMs: () => 5,
       },
     );
-    const advance = (step: IteratorResult<Offer, RouteEnd>): void => {
+    const advance = (step: IteratorResult<Offer, RouteResult>): void => {
       if (host.life !== life || outcome.end !== 'unfinished') {
         return;
       }
@@ -291,11 +291,11 @@
     from: ModelHost,
     { target }: Offer,
     { kind, suspicion, deadline }: { kind: Kind; suspicion: Suspicion | undefined; deadline: number },
-    done: (end: CallEnd) => void,
+    done: (end: CallResult) => void,
   ): void {
     const to = this._hostAt(this.hosts.findIndex(({ name }) => name === target.host));
     const settled = { over: false };
-    const settle = (end: CallEnd): void => {
+    const settle = (end: CallResult): void => {
       if (!settled.over) {
         settled.over = true;
         done(end);
@@ -344,7 +344,7 @@
     }
   }
 
-  private _finish(host: ModelHost, call: ModelCall, end: CallEnd): void {
+  private _finish(host: ModelHost, call: ModelCall, end: CallResult): void {
     call.reply(end);
     host.gate.leave(call);
   }
--- a/tests/routing/deadTargets.spec.ts
+++ b/tests/routing/deadTargets.spec.ts
@@ -9,8 +9,8 @@
  */
 
 import {
-  type CallEnd,
-  isVain,
+  type CallResult,
+  foundNoTarget,
   Placement,
   routeRequest,
   seededRandom,
@@ -89,8 +89,8 @@
       choose: (excluded) => placement.choose(this._directory.ready('s'), excluded, kRoute),
       remainingMs: () => 1_000,
       verdict: () => 'clear',
-      mayTry: () => true,
-      usefulMs: () => 5,
+      mayProbe: () => true,
+      minUsefulMs: () => 5,
     });
     const advance = (step: ReturnType<typeof procedure.next>): void => {
       if (step.done === true) {
@@ -102,7 +102,7 @@
       this.counts.offers++;
       placement.sent(host);
       this._offer(Number(host.slice(1)), (end) => {
-        const vain = isVain(end);
+        const vain = foundNoTarget(end);
         this.counts.vain += vain ? 1 : 0;
         const gate = this._gates[Number(host.slice(1))];
         const load = gate && !vain ? { inFlight: gate.inFlight, queued: gate.queued, limit: gate.limit, meanMs: gate.meanMs } : undefined;
@@ -146,13 +146,13 @@
     });
   }
 
-  private _offer(at: number, done: (end: CallEnd) => void): void {
+  private _offer(at: number, done: (end: CallResult) => void): void {
     const gate = this._gates[at];
     if (!gate) {
       return;
     }
     const id = this._nextId++;
-    const reply = (end: CallEnd): void => {
+    const reply = (end: CallResult): void => {
       this._time.after(kHopMs, () => {
         done(end);
       });
@@ -173,7 +173,7 @@
     });
   }
 
-  private _run(at: number, id: number, reply: (end: CallEnd) => void): void {
+  private _run(at: number, id: number, reply: (end: CallResult) => void): void {
     const gate = this._gates[at];
     if (this.gone.has(at)) {
       this._note(at, 'refused');
--- a/tests/routing/routeRequest.spec.ts
+++ b/tests/routing/routeRequest.spec.ts
@@ -3,21 +3,21 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { type CallEnd, type Offer, type RouteEnd, routeRequest, type TargetRecord } from '@gentiandrum/core';
+import { type CallResult, type Offer, type RouteResult, routeRequest, type TargetRecord } from '@gentiandrum/core';
 import fc from 'fast-check';
 import { describe, it } from '../support/describe.js';
 
-const kAnswered: CallEnd = { kind: 'answered', answer: { status: 200, headers: [], body: Buffer.alloc(0) } };
-const kFailed: CallEnd = { kind: 'answered', answer: { status: 500, headers: [], body: Buffer.alloc(0) } };
-const kLost: CallEnd = { kind: 'lost', reason: 'link lost' };
-const kRefused: CallEnd = { kind: 'not_run', reason: 'overloaded', retryAfterMs: 10 };
-const kShed: CallEnd = { kind: 'not_run', reason: 'target_refused', retryAfterMs: 10 };
+const kAnswered: CallResult = { kind: 'answered', answer: { status: 200, headers: [], body: Buffer.alloc(0) } };
+const kFailed: CallResult = { kind: 'answered', answer: { status: 500, headers: [], body: Buffer.alloc(0) } };
+const kLost: CallResult = { kind: 'lost', reason: 'link lost' };
+const kRefused: CallResult = { kind: 'not_run', reason: 'overloaded', retryAfterMs: 10 };
+const kShed: CallResult = { kind: 'not_run', reason: 'target_refused', retryAfterMs: 10 };
 
 function record(host: string): TargetRecord {
   return { host, zone: 'z', peers: '', service: 's', instance: `i-${host}`, state: 'ready', slots: 1, epoch: 1, revision: 1 };
 }
 
-function play(idempotent: boolean, maxAttempts: number, ends: readonly CallEnd[]): { offers: Offer[]; end: RouteEnd } {
+function play(idempotent: boolean, maxAttempts: number, ends: readonly CallResult[]): { offers: Offer[]; end: RouteResult } {
   const hosts = ['a', 'b', 'c', 'd', 'e'].map(record);
   const procedure = routeRequest(
     { idempotent, maxAttempts },
@@ -25,8 +25,8 @@
       choose: (excluded) => hosts.find(({ host }) => !excluded.has(host)),
       remainingMs: () => 1_000,
       verdict: () => 'clear',
-      mayTry: () => true,
-      usefulMs: () => 5,
+      mayProbe: () => true,
+      minUsefulMs: () => 5,
     },
   );
   const offers: Offer[] = [];
--- a/tests/workspaces/admitRequest.spec.ts
+++ b/tests/workspaces/admitRequest.spec.ts
@@ -6,10 +6,10 @@
 /** The way of a request in: the order of its checks, and a workspace that sends many times its usual while the rest is busy. */
 
 import {
-  type AdmitSurroundings,
+  type AdmitContext,
   admitRequest,
-  type ArrivedRequest,
-  type EntryEnd,
+  type EntryRequest,
+  type EntryResult,
   QuotaBucket,
   RootAdmission,
   RouteTable,
@@ -43,7 +43,7 @@
   ranks: number[];
 }
 
-function around(noted: Noted, changed: Partial<AdmitSurroundings> = {}): AdmitSurroundings {
+function around(noted: Noted, changed: Partial<AdmitContext> = {}): AdmitContext {
   return {
     tables: () => kTables,
     validUntil: () => 1_000,
@@ -52,7 +52,7 @@
       noted.taken.push(workspace);
       return { kind: 'granted', part: { host: 'h', zone: 'z', share: 1 } };
     },
-    sheds: (_route, rank) => {
+    shouldShed: (_route, rank) => {
       noted.ranks.push(rank);
       return false;
     },
@@ -60,7 +60,7 @@
   };
 }
 
-function enter(req: Partial<ArrivedRequest>, changed?: Partial<AdmitSurroundings>): { end: EntryEnd; noted: Noted } {
+function enter(req: Partial<EntryRequest>, changed?: Partial<AdmitContext>): { end: EntryResult; noted: Noted } {
   const noted: Noted = { taken: [], ranks: [] };
   const procedure = admitRequest({ host: 'app', path: '/read/1', presented: { kind: 'none' }, ...req }, around(noted, changed));
   const step = procedure.next();
@@ -74,7 +74,7 @@
 
 describe('the way of a request in', () => {
   it('should end in one outcome for each reason, and take a token only when all else is well', (t) => {
-    const cases: [EntryEnd['kind'], Partial<ArrivedRequest>, Partial<AdmitSurroundings>?][] = [
+    const cases: [EntryResult['kind'], Partial<EntryRequest>, Partial<AdmitContext>?][] = [
       ['no_configuration', kCrew, { tables: () => undefined }],
       ['no_route', { ...kCrew, path: '/none/' }],
       ['no_key', {}],
@@ -105,7 +105,7 @@
   });
 
   it('should name the workspace of a request that is shed, so that its token goes back', (t) => {
-    const { end } = enter(kCrew, { sheds: () => true });
+    const { end } = enter(kCrew, { shouldShed: () => true });
     t.is(end.kind === 'shed' ? end.workspace?.token?.host : undefined, 'h');
   });
 });
