--- a/packages/core/src/errors/errorKind.ts
+++ b/packages/core/src/errors/errorKind.ts
@@ -11,7 +11,7 @@
 export type Outcome = 'not_run' | 'unknown' | 'ran';
 
 /** How an error kind is answered. */
-export interface ErrorAnswer {
+export interface ErrorResponse {
   /** HTTP status. */
   status: number;
   /** What the kind alone proves; the attempts of a call may prove less, see `proveOutcome`. */
@@ -25,7 +25,7 @@
 }
 
 /** Kind → answer. */
-export const kErrorAnswers = {
+export const kErrorResponses = {
   bad_request: { status: 400, outcome: 'not_run', repeat: false, retryAfter: false, title: 'Malformed request' },
   bad_chain_token: { status: 400, outcome: 'not_run', repeat: false, retryAfter: false, title: 'Chain token forged or truncated' },
   body_too_large: { status: 413, outcome: 'not_run', repeat: false, retryAfter: false, title: 'Body over the limit' },
@@ -74,17 +74,17 @@
     retryAfter: true,
     title: 'Fate of the patch unknown until the log answers',
   },
-} as const satisfies Record<string, ErrorAnswer>;
+} as const satisfies Record<string, ErrorResponse>;
 
 /** One of the error kinds. */
-export type ErrorKind = keyof typeof kErrorAnswers;
+export type ErrorKind = keyof typeof kErrorResponses;
 
 /** Tells whether a text names an error kind. */
 export function isErrorKind(text: string): text is ErrorKind {
-  return Object.hasOwn(kErrorAnswers, text);
+  return Object.hasOwn(kErrorResponses, text);
 }
 
 /** Looks up how a kind is answered. */
-export function answerOf(kind: ErrorKind): ErrorAnswer {
-  return kErrorAnswers[kind];
+export function errorResponse(kind: ErrorKind): ErrorResponse {
+  return kErrorResponses[kind];
 }
--- a/packages/core/src/procedures/runAttempts.ts
+++ b/packages/core/src/procedures/runAttempts.ts
@@ -8,7 +8,7 @@
  */
 
 import { kAllOpen, tighter } from '../admission/levelReport.js';
-import { answerOf, type ErrorKind } from '../errors/errorKind.js';
+import { errorResponse, type ErrorKind } from '../errors/errorKind.js';
 import { monotonicMs } from '../util/clock.js';
 import { type Attempt, type AttemptState, proveOutcome } from './attempt.js';
 import { type Call, offerTerms, type ServeContext, type ServedCall } from './callContext.js';
@@ -305,7 +305,7 @@
     return { kind: 'answer', answer: run.lastAnswer };
   }
   const outcome = proveOutcome(run.attempts);
-  const mayTellNotRun = outcome === 'not_run' || answerOf(run.lastReason).outcome !== 'not_run';
+  const mayTellNotRun = outcome === 'not_run' || errorResponse(run.lastReason).outcome !== 'not_run';
   const error = mayTellNotRun ? run.lastReason : 'attempt_lost';
   return errorResult(error, outcome, `Gave up after ${run.attempts.length} offers.`);
 }
--- a/packages/core/src/procedures/serveCall.ts
+++ b/packages/core/src/procedures/serveCall.ts
@@ -8,7 +8,7 @@
 import { kMaxDepth } from '@gentiandrum/protocol';
 import { kAllOpen } from '../admission/levelReport.js';
 import { rankOf } from '../admission/rank.js';
-import { answerOf, type ErrorKind } from '../errors/errorKind.js';
+import { errorResponse, type ErrorKind } from '../errors/errorKind.js';
 import { monotonicMs } from '../util/clock.js';
 import type { Call, ServeContext, ServedCall } from './callContext.js';
 import type { Procedure } from './effects.js';
@@ -78,7 +78,7 @@
 
 function refusedResult(call: Call, ctx: ServeContext, error: ErrorKind): ServeResult {
   ctx.logDecision({ request: call.id, step: 'refuse', cls: call.cls.name, reason: error });
-  return errorResult(error, answerOf(error).outcome, 'Refused before the first hop.');
+  return errorResult(error, errorResponse(error).outcome, 'Refused before the first hop.');
 }
 
 function resultWithoutRun(served: ServeResult, unspent: number, refusal?: ErrorKind): ServedCall {
--- a/packages/core/src/procedures/settleCall.ts
+++ b/packages/core/src/procedures/settleCall.ts
@@ -12,7 +12,7 @@
 
 import type { ClaimRecord } from '@gentiandrum/protocol';
 import type { KeyBid, KeyVerdict } from '../claims/keySettler.js';
-import { answerOf, type ErrorKind } from '../errors/errorKind.js';
+import { errorResponse, type ErrorKind } from '../errors/errorKind.js';
 import { monotonicMs } from '../util/clock.js';
 import type { Call, ServeContext } from './callContext.js';
 import { claimInLog, type ClaimedInLog } from './claimInLog.js';
@@ -207,7 +207,7 @@
 
 function refusal(call: Call, ctx: ServeContext, error: ErrorKind, detail: string): ServeResult {
   logDecision(call, ctx, 'refuse', error);
-  return errorResult(error, answerOf(error).outcome, detail);
+  return errorResult(error, errorResponse(error).outcome, detail);
 }
 
 function logDecision(call: Call, ctx: ServeContext, step: 'refuse' | 'settle' | 'join', reason: string): void {
--- a/packages/daemon/src/app/callService.ts
+++ b/packages/daemon/src/app/callService.ts
@@ -31,7 +31,7 @@
   type Suspects,
   type TargetPicker,
   errorResult,
-  answerOf,
+  errorResponse,
   wallMs,
 } from '@gentiandrum/core';
 import { type Config, kMaxDepth } from '@gentiandrum/protocol';
@@ -142,7 +142,7 @@
 
   /** Error answer for a request that is refused before anything is done for it. */
   refusal(error: ErrorKind): ServeResult {
-    return errorResult(error, answerOf(error).outcome, answerOf(error).title);
+    return errorResult(error, errorResponse(error).outcome, errorResponse(error).title);
   }
 
   /** Gives the claim of a key back whose call was not run here. */
--- a/packages/daemon/src/server/callRoutes.ts
+++ b/packages/daemon/src/server/callRoutes.ts
@@ -6,7 +6,7 @@
 /** Routes that carry calls: from callers and targets to any service, and offers between daemons. */
 
 import { offerHeadSchema, kOfferHeader, kVerdictHeader, type OfferTerms } from '@gentiandrum/protocol';
-import { answerOf, errorResult, monotonicMs, type OfferResult } from '@gentiandrum/core';
+import { errorResponse, errorResult, monotonicMs, type OfferResult } from '@gentiandrum/core';
 import type { IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 import type { FastifyInstance, FastifyReply, FastifyRequest } from 'fastify';
@@ -43,7 +43,7 @@
     if (kind === 'internal_error') {
       daemon.logger.error('http', 'A request failed by a fault of the daemon.', { err: err.message });
     }
-    sendServed(reply, kNoId, errorResult(kind, answerOf(kind).outcome, err.message));
+    sendServed(reply, kNoId, errorResult(kind, errorResponse(kind).outcome, err.message));
     return reply;
   });
 }
--- a/packages/daemon/src/server/controlController.ts
+++ b/packages/daemon/src/server/controlController.ts
@@ -6,7 +6,7 @@
 /** Requests of operators and targets, below `/-/`. */
 
 import { Body, Controller, Get, Header, HttpCode, HttpException, Inject, Param, Post, Query } from '@nestjs/common';
-import { answerOf, type ErrorKind, kOpenLevel, type ListedSuspect, type Member, type SubmitResult, wallMs } from '@gentiandrum/core';
+import { errorResponse, type ErrorKind, kOpenLevel, type ListedSuspect, type Member, type SubmitResult, wallMs } from '@gentiandrum/core';
 import { announcementSchema, patchRequestSchema } from '@gentiandrum/protocol';
 import type { LoggedDecision } from '../app/decisionLog.js';
 import { Daemon } from '../app/daemon.js';
@@ -175,6 +175,6 @@
 }
 
 function problem(kind: ErrorKind, detail: string, more: object = {}): HttpException {
-  const { status, title, outcome } = answerOf(kind);
+  const { status, title, outcome } = errorResponse(kind);
   return new HttpException({ type: `urn:gentiandrum:error:${kind}`, title, status, detail, kind, outcome, ...more }, status);
 }
--- a/packages/daemon/src/server/problem.ts
+++ b/packages/daemon/src/server/problem.ts
@@ -5,7 +5,7 @@
 
 /** Answers to callers: whole answers of targets, and errors as problem+json (RFC 9457) from the one table. */
 
-import { answerOf, type TargetResponse, type ErrorKind, type ServeResult } from '@gentiandrum/core';
+import { errorResponse, type TargetResponse, type ErrorKind, type ServeResult } from '@gentiandrum/core';
 import { kOutcomeHeader, kProblemType, kRequestIdHeader } from '@gentiandrum/protocol';
 import type { FastifyReply } from 'fastify';
 
@@ -58,7 +58,7 @@
 
 function sendProblem(reply: FastifyReply, id: string, served: Extract<ServeResult, { kind: 'error' }>): void {
   const { error, outcome, detail, thisTryOnly } = served;
-  const { status, title, repeat, retryAfter } = answerOf(error);
+  const { status, title, repeat, retryAfter } = errorResponse(error);
   const problem: Problem = {
     type: `urn:gentiandrum:error:${error}`,
     title,
--- a/packages/daemon/src/server/problemFilter.ts
+++ b/packages/daemon/src/server/problemFilter.ts
@@ -6,7 +6,7 @@
 /** Errors of control requests as problem+json. */
 
 import { type ArgumentsHost, Catch, type ExceptionFilter, HttpException } from '@nestjs/common';
-import { answerOf } from '@gentiandrum/core';
+import { errorResponse } from '@gentiandrum/core';
 import { kProblemType } from '@gentiandrum/protocol';
 import type { FastifyReply } from 'fastify';
 
@@ -31,6 +31,6 @@
     return told;
   }
   const kind = status < kServerError ? 'bad_request' : 'internal_error';
-  const { title } = answerOf(kind);
+  const { title } = errorResponse(kind);
   return { type: `urn:gentiandrum:error:${kind}`, title, status, kind, detail: err instanceof Error ? err.message : String(err) };
 }
