--- a/packages/core/src/procedures/acceptedOffers.ts
+++ b/packages/core/src/procedures/acceptedOffers.ts
@@ -4,22 +4,21 @@
  */
 
 /**
- * Offers that must not run twice and that a gate took from other daemons, for as long as their senders may not know how they ended. A
- * daemon that stops as planned names them in its last record; an offer that is lost and not named there was never taken, so it may be
- * made to another target.
+ * Tracks accepted non-repeatable offers of other daemons until their senders have confirmed the results. A daemon that stops as planned
+ * lists them in its last record; a lost offer that is not listed was never accepted, so it may be offered to another target.
  *
- * Only a sender can tell that it knows an end: a connection carries one offer at a time, so the next one on it does, and a sender that
- * knows of the leave and has no open offer says so. The end of a connection tells nothing, as the answer may be lost on the way.
+ * A connection carries one offer at a time, so the next offer on it confirms the previous result. A sender also confirms all results by
+ * reporting that it has no open offers. A closed connection confirms nothing, because the response may have been lost.
  */
 
 import type { LeaveProof } from '../membership/memberView.js';
 
-/** Most offers that a last record names, as it goes to every daemon; with more, from senders that are cut off, nothing is proved. */
+/** Maximum number of offers in a last record, which goes to every daemon. With more offers, the record contains no proof. */
 const kMaxListedOffers = 50;
-/** Time for which an offer is named after its deadline, in milliseconds: the clock of a sender's host may have stood still. */
+/** Time for which an offer is listed after its deadline, in milliseconds, in case the sender's host was suspended. */
 const kListedAfterDeadlineMs = 60_000;
 
-/** An offer that was taken, and its deadline on the monotonic clock. */
+/** An accepted offer, and its deadline on the monotonic clock in milliseconds. */
 export interface AcceptedOffer {
   attempt: string;
   deadline: number;
@@ -29,29 +28,29 @@
   from: string;
 }
 
-/** Follows the offers on connections, which are told apart by identity. */
+/** Tracks offers by connection; connections are compared by identity. */
 export class AcceptedOffers<C extends object> {
-  /** The newest offer of each open connection, unless it may run twice or was refused. */
+  /** Latest offer of each open connection; `unsettled` is undefined if the offer may run twice or was refused. */
   private readonly _open = new Map<C, { from: string; unsettled: UnsettledOffer | undefined }>();
-  /** Offers of connections that ended. */
+  /** Offers of closed connections. */
   private _ended: UnsettledOffer[] = [];
-  /** Senders that know of the leave and have no open offers. */
+  /** Senders that know that this daemon is leaving and have no open offers. */
   private readonly _released = new Set<string>();
 
-  /** Daemons whose offers came, and that have not said that they have none open. */
+  /** Daemons that sent offers and have not reported that none are open. */
   get senders(): string[] {
     const all = [...this._open.values(), ...this._ended].map(({ from }) => from);
     return [...new Set(all)].filter((from) => from !== '' && !this._released.has(from));
   }
 
-  /** Notes an offer of a daemon; `offer` is undefined for one that may run twice. True when it is the first on its connection. */
+  /** Records an offer; `offer` is undefined for one that may run twice. Returns whether it is the first on its connection. */
   accept(connection: C, from: string, offer: AcceptedOffer | undefined): boolean {
     const first = !this._open.has(connection);
     this._open.set(connection, { from, unsettled: offer && { ...offer, from } });
     return first;
   }
 
-  /** An offer was refused: whatever its sender hears, it has not run. */
+  /** Removes a refused offer, which did not run. */
   refused(connection: C, attempt: string): void {
     const known = this._open.get(connection);
     if (known?.unsettled?.attempt === attempt) {
@@ -60,7 +59,7 @@
     this._ended = this._ended.filter((offer) => offer.attempt !== attempt);
   }
 
-  /** A connection ended. */
+  /** Records that a connection closed. */
   closed(connection: C, now: number): void {
     const unsettled = this._open.get(connection)?.unsettled;
     this._open.delete(connection);
@@ -70,12 +69,12 @@
     }
   }
 
-  /** A sender knows that this daemon leaves, and has no open offer here. */
+  /** Records that a sender knows that this daemon is leaving, and has no open offers here. */
   released(from: string): void {
     this._released.add(from);
   }
 
-  /** What this daemon can prove once it takes nothing any more; undefined when that is too much to tell. */
+  /** Proof for the last record, once this daemon accepts no offers; undefined when there are too many offers to list. */
   leaveProof(now: number): LeaveProof | undefined {
     const open = [...this._open.values()].flatMap(({ unsettled }) => unsettled ?? []);
     const named = [...open, ...this._ended].filter((offer) => isListed(offer, now) && !this._released.has(offer.from));
--- a/packages/core/src/procedures/admitRequest.ts
+++ b/packages/core/src/procedures/admitRequest.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Whether a request is let in where it enters: its route, its workspace, how fresh the configuration is that says so, its quota, and the
- * load on its chain, in this order. A generator of questions to the owners of quotas; most requests need one or none.
+ * Admission of a request where it enters the mesh. Checks its route, its workspace, the age of the configuration, the quota and the load
+ * on its chain, in this order. The generator yields token requests to quota owners; most requests need one or none.
  */
 
 import type { Route } from '@gentiandrum/protocol';
@@ -15,39 +15,39 @@
 import type { QuotaLimits, QuotaPart } from '../workspaces/quotaParts.js';
 import { keyHash, type WorkspaceTable } from '../workspaces/workspaceTable.js';
 
-/** A workspace's priority goes before that of routes, which are below this. */
+/** Ranks per workspace priority. Route priorities are capped below this, so the workspace priority takes precedence. */
 const kRanksPerWorkspace = 1_000;
-/** Time after which a request that was turned away may come back, as a share of its latency target. */
+/** Retry-after time of a shed request, as a fraction of the latency target of its route. */
 const kShedRetryAfterRatio = 0.3;
 
-/** What decides of a request that came. */
+/** Properties of an incoming request that decide on its admission. */
 export interface EntryRequest {
   host: string;
-  /** May carry a query. */
+  /** May include a query string. */
   path: string;
   presented: PresentedKey;
 }
 
-/** A configuration in force, ready for look-ups. */
+/** Lookup tables built from the configuration in force. */
 export interface RoutingTables {
   version: number;
   routes: RouteTable;
   workspaces: WorkspaceTable;
 }
 
-/** Whose request it is, as gates need it. */
+/** Workspace of a request, in the form that gates need. */
 export interface RequestWorkspace {
   name: string;
   keyHash: number;
-  /** Version of the configuration that said so. */
+  /** Version of the configuration that maps the key to the workspace. */
   version: number;
-  /** Until when that may be relied on, on the monotonic clock; infinite where revocation is not strict. */
+  /** Monotonic time until which this mapping is valid, in milliseconds; infinite where revocation is not strict. */
   validUntil: number;
-  /** Where its token came from; undefined when the workspace has no limit. */
+  /** Quota share that the token was taken from; undefined when the workspace has no limit. */
   token: QuotaPart | undefined;
 }
 
-/** What became of a request where it entered. */
+/** Result of admission at the entry. */
 export type EntryResult =
   | { kind: 'admitted'; route: Route; service: string; rank: number; workspace: RequestWorkspace | undefined }
   | { kind: 'no_configuration' }
@@ -59,19 +59,19 @@
   | { kind: 'quota_unknown'; route: Route; workspace: string; retryAfterMs: number }
   | { kind: 'shed'; route: Route; workspace: RequestWorkspace | undefined; retryAfterMs: number };
 
-/** What the procedure asks of its surroundings. */
+/** Services that the procedure uses. */
 export interface AdmitContext {
   tables(): RoutingTables | undefined;
-  /** Until when the configuration may be relied on for keys, on the monotonic clock. */
+  /** Monotonic time until which the configuration may be used to look up keys, in milliseconds. */
   validUntil(): number;
-  /** The monotonic clock, in milliseconds. */
+  /** Current time on the monotonic clock, in milliseconds. */
   now(): number;
   takeToken(workspace: string, limits: QuotaLimits): Generator<TokenRequest, QuotaEnd, TokenAnswer>;
-  /** Whether a request of a rank is to be turned away for the load on its chain; 0 is the most urgent, `keyed` are people's. */
+  /** Whether to shed a request because of the load on its chain. Rank 0 is the most urgent; `keyed` requests carry a workspace key. */
   shouldShed(route: Route, rank: number, keyed: boolean): boolean;
 }
 
-/** Decides on one request. */
+/** Decides whether to admit one request. */
 export function* admitRequest(req: EntryRequest, ctx: AdmitContext): Generator<TokenRequest, EntryResult, TokenAnswer> {
   const tables = ctx.tables();
   if (!tables) {
@@ -109,7 +109,7 @@
     }
   | Extract<EntryResult, { kind: 'no_key' | 'unknown_key' | 'stale_configuration' }>;
 
-/** A key that isn't known to a daemon with an old configuration may be a new one, so that is no reason to call it unknown. */
+/** Looks up the workspace of a key. With an outdated configuration, a missing key may be a new one, so it is not reported as unknown. */
 function identify(route: Route, presented: PresentedKey, { version, workspaces }: RoutingTables, ctx: AdmitContext): IdentifyResult {
   if (presented.kind === 'none') {
     return { kind: 'no_key', route };
--- a/packages/core/src/procedures/attempt.ts
+++ b/packages/core/src/procedures/attempt.ts
@@ -4,23 +4,23 @@
  */
 
 /**
- * Life of one attempt, and what the attempts of a call together prove.
+ * States of one attempt, and the outcome that the attempts of a call prove together.
  */
 
 import type { ErrorKind, Outcome } from '../errors/errorKind.js';
 import type { Choice } from '../routing/targetPicker.js';
 import type { TargetResponse } from './served.js';
 
-/** State of an attempt. `offered` stands until something is heard: the target may have started by then. */
+/** State of an attempt. It remains `offered` until a result arrives; the target may have started by then. */
 export type AttemptState =
   | { kind: 'planned' }
   | { kind: 'offered' }
-  /** The gate, or the target's own shedding, turned it away before the start. */
+  /** The gate or the target rejected it before it started. */
   | { kind: 'refused'; reason: ErrorKind }
   | { kind: 'answered'; answer: TargetResponse }
-  /** It may have run and gave no whole answer. */
+  /** It may have run, but returned no complete response. */
   | { kind: 'failed'; reason: ErrorKind }
-  /** Nothing was heard. `written` tells whether a byte may have reached the gate. */
+  /** No result was received. `written` is true when any byte may have reached the gate. */
   | { kind: 'lost'; written: boolean }
   | { kind: 'cancelled'; beforeStart: boolean };
 
@@ -28,7 +28,7 @@
 export interface Attempt {
   id: string;
   choice: Choice;
-  /** Allowance lent to it. */
+  /** Retry allowance reserved for the attempt. */
   allowance: number;
   state: AttemptState;
 }
@@ -50,7 +50,7 @@
   }
 }
 
-/** What may be told of a call that got no answer: `not_run` only if that holds for every attempt. */
+/** Outcome of a call without a response: `not_run` only if that is proven for every attempt. */
 export function proveOutcome(attempts: readonly Attempt[]): Outcome {
   return attempts.every((attempt) => provablyNotRun(attempt.state)) ? 'not_run' : 'unknown';
 }
--- a/packages/core/src/procedures/callContext.ts
+++ b/packages/core/src/procedures/callContext.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What a procedure that serves a call knows and uses. */
+/** Data and services of the procedures that serve a call. */
 
 import type { OfferTerms } from '@gentiandrum/protocol';
 import type { LevelReport } from '../admission/levelReport.js';
@@ -20,21 +20,21 @@
 import type { Payload } from './effects.js';
 import type { ServeResult } from './served.js';
 
-/** How a call is identified for the sake of running it at most once. */
+/** Key by which a call runs at most once. */
 export type CallKey =
   | { kind: 'none' }
-  /** The caller's own `Idempotency-Key`, digested. */
+  /** Digest of the caller's `Idempotency-Key`. */
   | { kind: 'own'; key: string }
-  /** A numbered key, `namespace/sequence`, of a namespace that a daemon minted. */
+  /** Key of the form `namespace/sequence`, in a namespace that a daemon minted. */
   | { kind: 'minted'; key: string; owner: string; address: string; incarnation: number }
-  /** Derived from the chain; settled by the daemon where the root request entered. */
+  /** Key derived from the chain; settled by the daemon where the root request entered. */
   | { kind: 'derived'; key: string };
 
-/** Where a call stands in its chain. */
+/** Position of a call in its chain. */
 export interface ChainPosition {
   /** Id of the root request. */
   root: string;
-  /** Ledger entry of the parent call at this daemon; none for a root request. */
+  /** Ledger entry of the parent call at this daemon; undefined for a root request. */
   parent?: string;
   importance: number;
   cohort: number;
@@ -42,13 +42,13 @@
   rootDaemon: string;
   rootAddress: string;
   rootIncarnation: number;
-  /** Whether an ancestor may be sent more than once. */
+  /** Whether any ancestor may be sent more than once. */
   repeatable: boolean;
-  /** Which call of the chain this is, the same for each attempt at it; empty for the root. */
+  /** Identifies the call within its chain, the same for every attempt; empty for the root. */
   path: string;
 }
 
-/** A call to be served at this daemon. */
+/** A call that this daemon serves. */
 export interface Call {
   id: string;
   cls: NamedClass;
@@ -61,7 +61,7 @@
   deadline: number;
 }
 
-/** One decision, for the log: what was chosen, from what, and why. */
+/** Log entry of one decision: the chosen target, the candidates and the reason. */
 export interface Decision {
   request: string;
   step: 'refuse' | 'route' | 'retry' | 'compete' | 'settle' | 'join' | 'lost' | 'end';
@@ -71,16 +71,16 @@
   reason: string;
 }
 
-/** What serving a call uses of its daemon. */
+/** Parts of the daemon that serve a call. */
 export interface ServeContext {
   daemon: { id: string; incarnation: number; address: string };
   stopping: () => boolean;
   candidates: (service: string) => readonly Candidate[];
-  /** Told that nothing answers at a candidate's daemon. */
+  /** Called when the daemon of a candidate is unreachable. */
   onUnreachable: (candidate: Candidate) => void;
-  /** Targets of a service that take no work now, and may again. */
+  /** Number of targets of a service that accept no requests now, but may recover. */
   unavailableTargets: (service: string) => number;
-  /** Kinds of calls that targets may have ended by. */
+  /** Request fingerprints that are suspected of crashing targets. */
   suspects: Pick<Suspects, 'assess' | 'quietMs' | 'learn'>;
   picker: TargetPicker;
   rootFilter: RootFilter;
@@ -88,23 +88,23 @@
   retryRatio: (service: string) => RetryRatio;
   answers: AnswerStore;
   settler: KeySettler;
-  /** Shard of a key; `relay` is the address of the daemon that batches for it, when that is another. */
+  /** Shard of a key. `relay` is the address of the daemon that batches claims for the shard; undefined when that is the local daemon. */
   claimShard: (key: string) => { shard: number; index: ClaimIndex; relay?: string };
   newId: () => string;
   logDecision: (decision: Decision) => void;
 }
 
-/** One attempt of a call as its offer tells it. */
+/** Attempt data that goes into the terms of its offer. */
 export interface OfferedAttempt {
   attempt: string;
   choice: Choice;
   allowance: number;
   now: number;
-  /** What is held against the call's kind. */
+  /** Suspicion of the call's request fingerprint; undefined when there is none. */
   suspicion: Suspicion | undefined;
 }
 
-/** Terms of an offer for an attempt of a call. */
+/** Builds the terms of the offer for an attempt. */
 export function offerTerms(call: Call, { attempt, choice, allowance, now, suspicion }: OfferedAttempt): OfferTerms {
   const { chain, cls } = call;
   return {
@@ -129,12 +129,12 @@
   };
 }
 
-/** Result of a served call, with what its chain needs to know. */
+/** Result of a served call, with the data that its chain needs. */
 export interface ServedCall {
   served: ServeResult;
-  /** Allowance left of what the call had. */
+  /** Retry allowance that the call did not use. */
   unspent: number;
   level: LevelReport;
-  /** Whether the call failed for good: a retry above it would be a second one, or would meet the same overload. */
+  /** Whether callers further up must not retry: the call was already retried, or a retry would meet the same overload. */
   final: boolean;
 }
--- a/packages/core/src/procedures/claimInLog.ts
+++ b/packages/core/src/procedures/claimInLog.ts
@@ -3,16 +3,16 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Appends a claim and reads back who holds its key. The log's order decides, so any daemon may do this for another. */
+/** Appends a claim to the log and reads back the holder of its key. The log's order decides, so daemons may claim for each other. */
 
 import type { ClaimRecord } from '@gentiandrum/protocol';
 import type { ClaimIndex } from '../claims/claimIndex.js';
 import { perform, type Procedure } from './effects.js';
 
-/** Holder of the key, or that the log could not tell. A claim may have landed in the second case too. */
+/** Holder of the key, or `unavailable` when the log did not reveal it. The claim may have been appended in that case too. */
 export type ClaimedInLog = { kind: 'holder'; holder: ClaimRecord } | { kind: 'unavailable'; detail: string };
 
-/** Claims a key in the log. Repeating it with the same nonce is harmless. */
+/** Claims a key in the log. Idempotent for the same nonce. */
 export function* claimInLog(record: ClaimRecord, shard: number, index: ClaimIndex): Procedure<ClaimedInLog> {
   const appended = yield* perform('appendClaim', { shard, record });
   if (appended.kind === 'refused') {
--- a/packages/core/src/procedures/effects.ts
+++ b/packages/core/src/procedures/effects.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Effects: all that a procedure asks of the world. A procedure is a generator that yields one effect at a time and is
- * resumed with its reply, so it can be run against sockets, and stepped by hand with any fault at any step.
+ * Effects: all input and output of procedures. A procedure is a generator that yields one effect at a time and resumes with its reply.
+ * Daemons perform effects on sockets; tests perform them in memory and inject faults at any step.
  */
 
 import type { ClaimRecord, OfferTerms, PatchRecord } from '@gentiandrum/protocol';
@@ -16,16 +16,16 @@
 import type { KeyBid, KeyVerdict } from '../claims/keySettler.js';
 import type { TargetResponse, ServeResult } from './served.js';
 
-/** A request as it came in, its body read whole. */
+/** A received request with its complete body. */
 export interface Payload {
   method: string;
-  /** Path with query, as the target will see it. */
+  /** Path and query string that the target receives. */
   path: string;
   headers: Record<string, string | string[]>;
   body: Uint8Array;
 }
 
-/** How an offer to a gate ended. */
+/** Result of an offer to a gate. */
 export type OfferResult =
   | { kind: 'answered'; answer: TargetResponse; unspent: number; level: LevelReport; retriedBelow: boolean; load?: GateLoad }
   | { kind: 'refused'; reason: ErrorKind; unspent: number; level: LevelReport; load?: GateLoad; suspicion?: Suspicion }
@@ -36,26 +36,26 @@
       level: LevelReport;
       retriedBelow: boolean;
       load?: GateLoad;
-      /** What the gate holds against the call's kind: whoever sends it on should know. */
+      /** Suspicion that the gate has of the call's request fingerprint, for the sender to take into account. */
       suspicion?: Suspicion;
     }
-  /** Nothing was heard. `written` tells whether the gate may have taken it; `cause` is for the log. */
+  /** No result was received. `written` is true when the gate may have accepted the offer; `cause` is for the log. */
   | { kind: 'lost'; written: boolean; cause?: string };
 
-/** Load of a gate as it reports it. */
+/** Load and limit that a gate reports. */
 export interface GateLoad {
   load: number;
   limit: number;
 }
 
-/** What a call that waits for its attempts hears. */
+/** Event for a call that waits for its attempts. */
 export type CallEvent =
   | { kind: 'ended'; attempt: string; result: OfferResult }
   | { kind: 'timeout' }
-  /** The caller hung up. */
+  /** The caller disconnected. */
   | { kind: 'caller_gone' };
 
-/** How a target ended a call that was forwarded to it. */
+/** Result of forwarding a call to the target. */
 export type ForwardResult =
   | { kind: 'answered'; answer: TargetResponse }
   | { kind: 'truncated' }
@@ -64,24 +64,24 @@
   | { kind: 'timeout' }
   | { kind: 'cancelled' };
 
-/** What the gate made of a call that waited. */
+/** The gate's decision on a queued call. */
 export type AdmissionResult = { kind: 'started' } | { kind: 'shed'; reason: ErrorKind } | { kind: 'cancelled' };
 
-/** Where a record went that was appended. */
+/** Result of appending a record to the log. */
 export type AppendResult =
   | { kind: 'appended'; offset: number }
-  /** The log took nothing. */
+  /** The log appended nothing. */
   | { kind: 'refused' }
-  /** No answer: the append may have taken effect. */
+  /** No response was received: the append may have taken effect. */
   | { kind: 'lost' };
 
-/** Whether a stream could be read up to where it was asked. */
+/** Whether a stream could be read up to the requested offset. */
 export type ReadResult = { kind: 'read' } | { kind: 'unavailable' };
 
-/** What came of a claim that another daemon appended. */
+/** Result of a claim that another daemon appends. */
 export type RelayResult = { kind: 'holder'; holder: ClaimRecord } | { kind: 'unavailable' } | { kind: 'unreachable' };
 
-/** What a claimant knows of a key. */
+/** Result of requesting a call's result from the claimant of its key. */
 export type FetchResult =
   | { kind: 'recorded'; served: ServeResult }
   | { kind: 'running' }
@@ -90,68 +90,67 @@
   | { kind: 'unknown' }
   | { kind: 'unreachable' };
 
-/** Effect → its reply. */
+/** Parameters and reply of each effect. */
 export interface Effects {
-  /** Sends an attempt to the gate of a target; its end comes as an event. */
+  /** Sends an attempt to the gate of a target; its result arrives as an event. */
   offer: { params: { attempt: string; to: Candidate; terms: OfferTerms; payload: Payload }; reply: undefined };
   /** Waits for the next event of the call's attempts, until `until` on the monotonic clock. */
   awaitEvent: { params: { until: number }; reply: CallEvent };
-  /** Cancels an attempt. Replies whether it is certain that it never started; at once, with `unknown`, unless awaited. */
+  /** Cancels an attempt. Replies whether it provably never started; unless `awaited`, replies `unknown` at once. */
   cancel: {
     params: { attempt: string; to: Candidate; awaited: boolean };
     reply: { kind: 'before_start' } | { kind: 'started' } | { kind: 'unknown' };
   };
   /** Appends a claim to the stream of its shard. */
   appendClaim: { params: { shard: number; record: ClaimRecord }; reply: AppendResult };
-  /** Reads a claims stream into its index: up to `upTo`, or to its present end. */
+  /** Reads a claims stream into its index: up to `upTo`, or to its current end. */
   readClaims: { params: { shard: number; upTo?: number }; reply: ReadResult };
-  /** Asks the daemon that appends for a shard to append a claim, and to read back who holds the key. */
+  /** Requests that the daemon that appends for a shard appends a claim and reads back the holder of the key. */
   relayClaim: { params: { to: string; shard: number; record: ClaimRecord }; reply: RelayResult };
-  /** Asks another daemon who may run under a key that it settles. */
+  /** Queries the daemon that settles a key for the claimant that may run under it. */
   settleKey: {
     params: { to: string; incarnation: number; bid: KeyBid; root?: string };
     reply: KeyVerdict | { kind: 'unreachable' };
   };
-  /** Asks the claimant of a key for the answer, waiting for it up to `until`. */
+  /** Requests the result from the claimant of a key, waiting for it up to `until`. */
   fetchAnswer: { params: { address: string; claimant: string; key: string; body: string; until: number }; reply: FetchResult };
-  /** Waits for the running call of a key at this daemon, up to `until`; undefined when it gave up, or time did. */
+  /** Waits up to `until` for the running call of a key at this daemon; undefined when it was abandoned or the time passed. */
   joinRunning: { params: { key: string; until: number }; reply: ServeResult | undefined };
   /** Waits for the gate's decision on a queued call. */
   awaitAdmission: { params: { attempt: string }; reply: AdmissionResult };
-  /** Sends a started call to the target on this host. */
+  /** Sends a started call to the local target. */
   forward: { params: { attempt: string; payload: Payload; entry: string; deadline: number }; reply: ForwardResult };
   /** Appends a patch to the configuration stream. */
   appendPatch: { params: { record: PatchRecord }; reply: AppendResult };
-  /** Folds the configuration stream up to `upTo`, or to its present end. */
+  /** Folds the configuration stream up to `upTo`, or to its current end. */
   readConfig: { params: { upTo?: number }; reply: ReadResult };
   /** Reads the latest snapshots into the fold. */
   readSnapshots: { params: object; reply: ReadResult };
   /** Appends a snapshot of the fold. */
   appendSnapshot: { params: object; reply: AppendResult };
-  /** Asks the other known daemons, and the seeds, for their configuration and members. */
+  /** Queries known daemons and seeds for their configuration and members. */
   queryPeers: { params: object; reply: { answered: number } };
-  /** Makes this daemon known in the members stream. */
+  /** Appends the record of the local daemon to the members stream. */
   appendMember: { params: { goodbye: boolean }; reply: AppendResult };
-  /** Tells some daemons at once of a change of the own record. */
+  /** Sends a change of the local daemon's record to some daemons at once. */
   notifyPeers: { params: object; reply: undefined };
-  /** Waits. */
   sleep: { params: { ms: number }; reply: undefined };
-  /** Waits until nothing is in flight, or `until` passes; replies how many calls still are. */
+  /** Waits until nothing is in flight, or `until` passes; replies the number of calls still in flight. */
   awaitIdle: { params: { until: number }; reply: { inFlight: number } };
-  /** Waits until all daemons that sent offers have none open, and send none any more, or `until` passes; replies how many have not. */
+  /** Waits until no sender has open offers or sends new ones, or `until` passes; replies the number of remaining senders. */
   awaitSenders: { params: { until: number }; reply: { senders: number } };
 }
 
 /** Name of an effect. */
 export type EffectName = keyof Effects;
-/** One effect with what it asks. */
+/** One effect with its parameters. */
 export type Effect = { [K in EffectName]: { type: K } & Effects[K]['params'] }[EffectName];
-/** Any reply. */
+/** Reply to any effect. */
 export type Reply = Effects[EffectName]['reply'];
-/** A procedure that ends with a `T`. */
+/** A procedure that returns a `T`. */
 export type Procedure<T> = Generator<Effect, T, Reply>;
 
-/** Yields one effect, and gives its reply the type that belongs to it. */
+/** Yields one effect and returns its typed reply. */
 export function* perform<K extends EffectName>(type: K, params: Effects[K]['params']): Generator<Effect, Effects[K]['reply'], Reply> {
   const reply: Reply = yield { type, ...params } as Effect;
   return reply;
--- a/packages/core/src/procedures/gateCall.ts
+++ b/packages/core/src/procedures/gateCall.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Takes an offered call through the gate of the target on this host. */
+/** Passes an offered call through the gate of the local target. */
 
 import type { OfferTerms } from '@gentiandrum/protocol';
 import type { Queued } from '../admission/admissionQueue.js';
@@ -21,23 +21,23 @@
   terms: OfferTerms;
 }
 
-/** What taking a call through a gate uses of its daemon. */
+/** Parts of the daemon that pass a call through a gate. */
 export interface GateContext {
   gate: Gate<GateCall> | undefined;
-  /** Name of the target that the gate leads to. */
+  /** Name of the target behind the gate. */
   target: string;
   ledger: RetryLedger;
-  /** Levels further down, as the target's onward calls meet them: what they shed is not even begun here. */
+  /** Admission levels that the target's onward calls meet. Calls that these would shed are refused here. */
   downstream: RootFilter;
-  /** Attempts that arrived before: an attempt is started once, however often it is delivered. */
+  /** Received attempts. A duplicate delivery does not start the attempt again. */
   seenAttempts: { add: (attempt: string) => boolean };
   logDecision: (decision: { request: string; attempt: string; step: 'gate'; cls: string; target: string; reason: string }) => void;
 }
 
-/** HTTP statuses by which a target sheds a call. */
+/** HTTP statuses with which a target sheds a call. */
 const kShedStatuses: ReadonlySet<number> = new Set([429, 503]);
 
-/** Takes one attempt through the gate. */
+/** Passes one attempt through the gate. */
 export function* gateCall(terms: OfferTerms, payload: Payload, ctx: GateContext): Procedure<OfferResult> {
   const { gate } = ctx;
   if (!gate || terms.target !== ctx.target) {
@@ -106,8 +106,8 @@
 const kEmptySummary: LedgerSummary = { unspent: 0, level: kAllOpen, retriedBelow: false, onwardCalls: 0, waitedMs: 0 };
 
 /**
- * Reason for which a call that was sent provably did not run. A target sheds with 429 or 503 and `Retry-After`; that
- * counts only for a call for which it made no onward call.
+ * Reason why a forwarded call provably did not run; undefined when it may have run. A response of 429 or 503 with `Retry-After` counts
+ * as shedding only if the target made no onward call for it.
  */
 function provenRefusal(result: ForwardResult, summary: LedgerSummary): ErrorKind | undefined {
   if (result.kind === 'lost' && !result.written) {
@@ -151,7 +151,7 @@
   };
 }
 
-/** Tightest level that calls of this class met below the target. */
+/** Tightest admission level that calls of this class met downstream of the target. */
 function downstreamLevel(terms: OfferTerms, ctx: GateContext): LevelReport {
   const service = ctx.downstream.narrowest(terms.className);
   return service === undefined ? kAllOpen : { level: ctx.downstream.level(terms.className, monotonicMs()), service };
--- a/packages/core/src/procedures/lifecycle.ts
+++ b/packages/core/src/procedures/lifecycle.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Start and planned stop of a daemon. */
+/** Procedures for the start and the planned stop of a daemon. */
 
 import type { ConfigFold } from '../config/configFold.js';
 import { monotonicMs } from '../util/clock.js';
@@ -12,15 +12,15 @@
 const kInitialBackoffMs = 100;
 const kMaxBackoffMs = 2_000;
 
-/** Where a starting daemon got its configuration from. */
+/** Source and version of the configuration of a starting daemon. */
 export interface ColdStartResult {
   source: 'log' | 'peers' | 'nowhere';
   version: number;
 }
 
 /**
- * Learns configuration and members: from the log, or from other daemons while the log is down. Gives up after
- * `attempts` rounds; the daemon then serves nothing until it hears of a configuration, and goes on asking.
+ * Loads configuration and members from the log, or from other daemons while the log is unavailable. Gives up after `attempts` rounds;
+ * the daemon then serves nothing until it receives a configuration.
  */
 export function* coldStart(fold: ConfigFold, attempts: number): Procedure<ColdStartResult> {
   let backoffMs = kInitialBackoffMs;
@@ -41,27 +41,27 @@
   return { source: 'nowhere', version: fold.version };
 }
 
-/** What a planned stop acts on. */
+/** Operations and limits of a planned stop. */
 export interface StopContext {
-  /** Announces `leaving` in the own record, and refuses new root requests. */
+  /** Sets the state `leaving` in the local daemon's record and refuses new root requests. */
   announceLeaving: () => void;
-  /** Closes the gate, handing back what waits. */
+  /** Closes the gate and refuses queued calls. */
   closeGate: () => void;
-  /** Marks the own record as gone, with what it proves of the offers that were taken. */
+  /** Sets the state `left` in the local daemon's record, with the proof about accepted offers. */
   announceLeft: () => void;
-  /** Time for what runs, in milliseconds; 0 waits without limit. */
+  /** Time limit for calls in flight, in milliseconds; 0 means no limit. */
   limitMs: number;
 }
 
-/** Time in which the word of a leave reaches those who still send. */
+/** Time for the `leaving` state to reach the senders, in milliseconds. */
 const kPropagationMs = 300;
 const kIdlePollMs = 1_000;
-/** Longest wait for senders to say that they have no open offers, in milliseconds: four times what a ping may take. */
+/** Maximum wait for senders to report that they have no open offers, in milliseconds. */
 const kMaxSenderWaitMs = 2_000;
 
 /**
- * Stops without cutting anything: the word first, then the queue back, then what runs, then the word of the
- * senders that nothing of theirs is on its way, then goodbye.
+ * Stops without interrupting calls: announces the leave and refuses queued calls, waits for calls in flight and for senders without open
+ * offers, then announces that the daemon has left. `cut` is the number of calls still in flight at the limit.
  */
 export function* plannedStop(ctx: StopContext): Procedure<{ cut: number }> {
   const startedAt = monotonicMs();
--- a/packages/core/src/procedures/releaseClaim.ts
+++ b/packages/core/src/procedures/releaseClaim.ts
@@ -3,12 +3,12 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Gives a claim back to the log whose call was not run, so that another daemon may run it. */
+/** Releases the claim of a call that did not run, so that another daemon may run it. */
 
 import type { AnswerStore } from '../claims/answerStore.js';
 import { perform, type Procedure } from './effects.js';
 
-/** What is released, and by whom. */
+/** The claim to release and its claimant. */
 export interface ClaimRelease {
   key: string;
   shard: number;
@@ -16,7 +16,7 @@
   address: string;
 }
 
-/** Releases an abandoned claim. It stays barred here until its release is seen in the log. */
+/** Releases an abandoned claim. The key stays blocked here until the release is read back. Returns whether it was released. */
 export function* releaseClaim(release: ClaimRelease, answers: AnswerStore): Procedure<boolean> {
   const { key, shard, claimant, address } = release;
   const body = answers.get(key)?.body ?? '';
--- a/packages/core/src/procedures/routeRequest.ts
+++ b/packages/core/src/procedures/routeRequest.ts
@@ -4,9 +4,8 @@
  */
 
 /**
- * How one request of a caller is carried to targets until it has its final answer: which target is tried, what may be sent
- * once more, and what the caller is told. A generator of offers; whoever drives it ends it early at the deadline or when the
- * caller is gone.
+ * Routes one request to targets until it has a final result: chooses targets, decides on repeats, and determines what the caller
+ * receives. The generator yields offers; its driver stops it at the deadline or when the caller disconnects.
  */
 
 import type { Route } from '@gentiandrum/protocol';
@@ -14,33 +13,33 @@
 import type { NotRunReason } from '../admission/notRunReason.js';
 import type { Verdict } from '../quarantine/suspicion.js';
 
-/** Most offers of one request, refusals included: refusals cost little, but not nothing. */
+/** Maximum number of offers of one request, including refused ones. */
 const kMaxOffers = 4;
 /**
- * Most offers of one request beyond these that met a gate without a target behind it: such a one says nothing of the others, and with
- * a tenth of the targets gone a request that counts them has four vain offers one time in ten thousand instead of being served.
+ * Maximum number of additional offers of one request that found no available target. These have a limit of their own, because an
+ * unavailable target indicates nothing about the others.
  */
 const kMaxNoTargetOffers = 4;
 
-/** Reasons that hold for every target. */
+/** Reasons that apply to every target. */
 const kFinalReasons: ReadonlySet<NotRunReason> = new Set(['cancelled', 'repeat_budget', 'key_not_valid', 'quarantined']);
-/** Time after which a request that is held back may come again, in milliseconds: sooner is of no use. */
+/** Retry-after time of a quarantined request, in milliseconds. */
 const kQuarantinedRetryMs = 60_000;
-/** The same while too few targets are left to try a suspect, in milliseconds. */
+/** Retry-after time of a suspect request while too few targets are left to probe it, in milliseconds. */
 const kSuspectedRetryMs = 1_000;
 
-/** A whole answer of a target. */
+/** A complete response of a target. */
 export interface CompleteResponse {
   status: number;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: string[];
   body: Buffer;
 }
 
-/** How one offer ended. */
+/** Result of one offer. */
 export type CallResult =
   | { kind: 'answered'; answer: CompleteResponse }
-  /** The target has not begun, and never will. */
+  /** The target did not start the request and never will. */
   | { kind: 'not_run'; reason: NotRunReason; retryAfterMs: number }
   /** It may have run. */
   | { kind: 'lost'; reason: string };
@@ -50,26 +49,26 @@
   target: TargetRecord;
   /** Whether the request may have reached a target before. */
   repeat: boolean;
-  /** Whether targets may have ended by its kind, so that it runs only where no other of its kind does. */
+  /** Whether its fingerprint is suspected of crashing targets. Requests with the same fingerprint then do not run concurrently. */
   suspect: boolean;
 }
 
-/** Final answer to the caller. */
+/** Final result for the caller. */
 export type RouteResult =
   | { kind: 'answered'; answer: CompleteResponse }
   | { kind: 'not_run'; reason: NotRunReason | 'no_target'; retryAfterMs: number }
   | { kind: 'lost'; reason: string };
 
-/** What the procedure asks of its surroundings while it runs. */
+/** Services that the procedure uses while it runs. */
 export interface RouteContext {
   choose(excluded: ReadonlySet<string>): TargetRecord | undefined;
-  /** What is known of the request's kind by now: each offer may have told more. */
+  /** Current verdict on the request fingerprint. It may change with each offer. */
   verdict(): Verdict;
-  /** Whether the service can spare the target that a trial of the kind may cost. */
+  /** Whether the service has enough targets to risk one in a probe of the fingerprint. */
   mayProbe(): boolean;
-  /** Time until the caller stops waiting, in milliseconds. */
+  /** Time until the deadline of the request, in milliseconds. */
   remainingMs(): number;
-  /** Time that a further offer needs to be worth it, in milliseconds. */
+  /** Minimum remaining time for another offer, in milliseconds. */
   minUsefulMs(): number;
 }
 
@@ -77,7 +76,7 @@
 
 const kSuspectedResult: RouteResult = { kind: 'not_run', reason: 'suspected', retryAfterMs: kSuspectedRetryMs };
 
-/** Carries one request. */
+/** Routes one request to its final result. */
 export function* routeRequest(
   route: Pick<Route, 'idempotent' | 'maxAttempts'>,
   ctx: RouteContext,
@@ -89,7 +88,7 @@
   for (let offers = 0; offers - noTargetOffers < kMaxOffers && noTargetOffers <= kMaxNoTargetOffers; offers++) {
     const verdict = ctx.verdict();
     if (verdict === 'quarantined') {
-      // Also in the middle of a request: the next offer would end one more target.
+      // Applies also between offers of one request: the next offer could crash another target.
       return arrivals > 0 ? last : kQuarantinedResult;
     }
     if (verdict === 'trial' && !ctx.mayProbe()) {
@@ -117,7 +116,7 @@
   return last;
 }
 
-/** The gate knew more than this daemon did: the same target may be the one where the kind is tried. */
+/** Whether the gate reported a suspicion unknown to this daemon. The same target may then be the one that probes the fingerprint. */
 function isNewlySuspected(result: CallResult, knownSuspect: boolean): boolean {
   return !knownSuspect && isSuspected(result);
 }
@@ -126,7 +125,7 @@
   return result.kind === 'not_run' && result.reason === 'suspected';
 }
 
-/** Whether an offer ended where there is no target to be had, before anything was sent to one. */
+/** Whether an offer found no available target, so that nothing was sent to one. */
 export function foundNoTarget(result: CallResult): boolean {
   return result.kind === 'not_run' && (result.reason === 'unreachable' || result.reason === 'not_accepting');
 }
@@ -152,7 +151,7 @@
   }
 }
 
-/** What an earlier offer may have done stays true: a later refusal doesn't make the request "not run". */
+/** Returns the less certain result: a later refusal does not prove that an earlier offer did not run. */
 function lessCertain(last: RouteResult, result: CallResult): RouteResult {
   if (result.kind === 'not_run' && (last.kind === 'lost' || last.kind === 'answered')) {
     return last;
--- a/packages/core/src/procedures/runAttempts.ts
+++ b/packages/core/src/procedures/runAttempts.ts
@@ -4,7 +4,7 @@
  */
 
 /**
- * Runs a call: offers it to targets, retries within the allowance, and takes the first whole answer.
+ * Runs a call: offers it to targets, retries within the allowance, and returns the first complete response.
  */
 
 import { kAllOpen, tighter } from '../admission/levelReport.js';
@@ -16,15 +16,15 @@
 import { type CallEvent, type OfferResult, perform, type Procedure } from './effects.js';
 import { type TargetResponse, errorResult, type ServeResult } from './served.js';
 
-/** Offers of one attempt that gates may refuse before the call is given up. */
+/** Number of refusals after which the call is not offered to another target. */
 const kMaxRefusals = 3;
-/** Refusals for overload before the call is given up: the other target of two random choices is asked, no more. */
+/** The same for refusals because of overload: the call is offered to one alternative target at most. */
 const kMaxOverloadRefusals = 2;
 const kServerErrorStatus = 500;
-/** Timers may fire this much early, in milliseconds. */
+/** Tolerance for timers that fire early, in milliseconds. */
 const kTimerSlackMs = 1;
 
-/** A call while it runs. */
+/** State of a running call. */
 class CallRun {
   readonly attempts: Attempt[] = [];
   readonly tried = new Set<string>();
@@ -42,7 +42,7 @@
     public allowance: number,
   ) {}
 
-  /** Attempts that may still bring an answer. */
+  /** Attempts without a result. */
   get open(): Attempt[] {
     return this.attempts.filter((attempt) => attempt.state.kind === 'offered');
   }
@@ -59,7 +59,7 @@
   }
 }
 
-/** Runs a call whose right to run is settled. `allowance` is the share of the chain's retries that it has. */
+/** Runs a call whose right to run is settled. `allowance` is its share of the chain's retries. */
 export function* runAttempts(call: Call, ctx: ServeContext, allowance: number): Procedure<ServedCall> {
   const run = new CallRun(call, ctx, allowance);
   ctx.retryRatio(call.cls.service).earn();
@@ -76,7 +76,7 @@
   return conclude(run, failureResult(run));
 }
 
-/** Offers the call to one more target; false when there is none, or no time. */
+/** Offers the call to one more target. Returns false when no target may be offered it or the deadline has passed. */
 function* offerAttempt(run: CallRun, step: 'route' | 'retry' | 'compete'): Procedure<boolean> {
   const { call, ctx } = run;
   const now = monotonicMs();
@@ -86,7 +86,7 @@
   }
   const suspect = chooseForSuspect(call, ctx, run.tried, now);
   if (suspect.kind === 'refused') {
-    // Also in the middle of a call: the next attempt would end one more target.
+    // Applies also between attempts of one call: the next attempt could crash another target.
     run.lastReason = suspect.reason;
     run.logDecision('refuse', suspect.reason);
     return false;
@@ -112,15 +112,15 @@
 }
 
 /**
- * Share that goes down with an attempt. A root request keeps one unit back, since a lost answer takes its share with it;
- * further down the ledger entry of the parent holds such a reserve.
+ * Allowance reserved for an attempt. A root request keeps one unit, because a lost response loses its share of the allowance; for
+ * onward calls the parent's ledger entry holds this reserve.
  */
 function allowanceToLend(run: CallRun): number {
   const reserve = run.call.chain.parent === undefined ? 1 : 0;
   return Math.max(0, run.allowance - reserve);
 }
 
-/** Time until which an answer is awaited before something else is done. */
+/** Monotonic time until which the call waits for the next event, in milliseconds. */
 function nextTimeout(run: CallRun): number {
   const { cls, deadline } = run.call;
   if (cls.attemptTimeoutMs === undefined || run.open.length > 1) {
@@ -129,7 +129,7 @@
   return Math.min(deadline, monotonicMs() + cls.attemptTimeoutMs);
 }
 
-/** Books an event; returns the end of the call if the event brought it. */
+/** Applies an event to the call; returns the result if the event ends the call. */
 function handleEvent(run: CallRun, event: CallEvent): ServeResult | undefined {
   switch (event.kind) {
     case 'ended':
@@ -175,7 +175,7 @@
   }
 }
 
-/** Takes from an attempt's end what it tells of the target and of the chain below. */
+/** Updates target statistics, allowance and admission levels from the result of an attempt. */
 function recordFeedback(run: CallRun, attempt: Attempt, result: OfferResult): void {
   const { ctx, call } = run;
   const { candidate, stats } = attempt.choice;
@@ -202,7 +202,7 @@
   if (result.kind === 'refused') {
     run.lastReason = result.reason;
     if (result.reason === 'suspected') {
-      // The gate knew more than this daemon did: its kind may have to go to the same target.
+      // The gate reported a suspicion unknown to this daemon; the same target may be the one that probes the fingerprint.
       run.tried.delete(candidate.target);
     }
     if (result.reason === 'no_target') {
@@ -222,7 +222,7 @@
   }
 }
 
-/** Decides what follows an event that ended nothing. False when the call is given up. */
+/** Continues the call after an event that did not end it. Returns false when the call fails. */
 function* continueCall(run: CallRun, event: CallEvent): Procedure<boolean> {
   if (event.kind === 'timeout') {
     if (mayRetry(run)) {
@@ -235,7 +235,7 @@
   return offered || run.open.length > 0;
 }
 
-/** Places the call anew after one of its attempts ended without an answer. */
+/** Offers the call again after an attempt without a usable response. */
 function* offerAgain(run: CallRun, state: AttemptState): Procedure<boolean> {
   const neverStarted = (state.kind === 'refused' && state.reason !== 'target_shed') || (state.kind === 'lost' && !state.written);
   if (neverStarted) {
@@ -244,7 +244,7 @@
   return mayRetry(run) && (yield* offerAttempt(run, 'retry'));
 }
 
-/** Whether a call that never started may be offered to another target. Nothing ran, so no allowance is needed. */
+/** Whether a call that never started may be offered to another target. This needs no allowance. */
 function mayOfferElsewhere(run: CallRun, state: AttemptState): boolean {
   run.refusals++;
   if (state.kind === 'refused' && state.reason === 'overloaded') {
@@ -254,7 +254,7 @@
   return untried && run.refusals < kMaxRefusals && run.overloadRefusals < kMaxOverloadRefusals;
 }
 
-/** Whether a call that may have run may be sent again; takes one retry from the allowance if so. */
+/** Whether a call that may have run may be retried; if so, takes one retry from the allowance. */
 function mayRetry(run: CallRun): boolean {
   const { call, ctx } = run;
   if (!call.cls.idempotent || run.final || monotonicMs() >= call.deadline) {
@@ -280,7 +280,7 @@
   return run.allowance > 0 || (parent !== undefined && run.ctx.ledger.remaining(parent) > 0);
 }
 
-/** Cancels what is still out. Only where the outcome depends on it, the word whether it started is awaited. */
+/** Cancels open attempts. `awaited` waits for each reply whether the attempt started, which the outcome of an error depends on. */
 function* cancelOpen(run: CallRun, awaited: boolean): Procedure<undefined> {
   for (const attempt of run.open) {
     const reply = yield* perform('cancel', { attempt: attempt.id, to: attempt.choice.candidate, awaited });
@@ -290,7 +290,7 @@
   return undefined;
 }
 
-/** Corrects an error's outcome, once all attempts are settled, to what they prove. */
+/** Changes an error to `not_run` if all attempts provably did not run. */
 function withProvenOutcome(run: CallRun, served: ServeResult): ServeResult {
   if (served.kind === 'answer' || proveOutcome(run.attempts) !== 'not_run') {
     return served;
@@ -299,7 +299,7 @@
   return errorResult(error, 'not_run', served.detail);
 }
 
-/** End of a call without a good answer: the target's own last answer if there is one, else an error. */
+/** Result of a failed call: the last response of a target if there is one, otherwise an error. */
 function failureResult(run: CallRun): ServeResult {
   if (run.lastAnswer) {
     return { kind: 'answer', answer: run.lastAnswer };
--- a/packages/core/src/procedures/serveCall.ts
+++ b/packages/core/src/procedures/serveCall.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Serves a call at the daemon where it came in: from a caller, or from the target on this host. */
+/** Serves a call at the daemon that received it from an external caller or from the local target. */
 
 import { kMaxDepth } from '@gentiandrum/protocol';
 import { kAllOpen } from '../admission/levelReport.js';
@@ -16,7 +16,7 @@
 import { errorResult, type ServeResult } from './served.js';
 import { joinKnown, settleCall } from './settleCall.js';
 
-/** Serves a call. */
+/** Serves a call and returns its result. A root request opens its chain; an onward call shares its parent's allowance. */
 export function* serveCall(call: Call, ctx: ServeContext): Procedure<ServeResult> {
   const { parent, root } = call.chain;
   if (parent === undefined) {
@@ -53,7 +53,7 @@
   return result;
 }
 
-/** Reason to refuse a call before anything is done for it. */
+/** Reason to refuse a call before its key is settled; undefined when it may proceed. */
 function refuseEarly(call: Call, ctx: ServeContext): ErrorKind | undefined {
   const now = monotonicMs();
   const { chain, cls } = call;
@@ -85,14 +85,14 @@
   return { served, unspent, level: kAllOpen, final: refusal === 'overloaded' };
 }
 
-/** Marks a `not_run` that was told before it was settled who holds the key: an earlier try may have run elsewhere. */
+/** Limits a `not_run` to this try if the holder of the key was not settled: an earlier try may have run elsewhere. */
 function limitToThisTry(call: Call, served: ServeResult): ServeResult {
   const settledElsewhere = call.key.kind === 'own' || call.key.kind === 'minted';
   const unsettled = served.kind === 'error' && served.outcome === 'not_run' && served.error !== 'key_mismatch';
   return settledElsewhere && unsettled ? { ...served, thisTryOnly: true } : served;
 }
 
-/** Keeps the end of a keyed call for its repeats. A call that provably did not run may be repeated under its claim. */
+/** Records the result of a keyed call for its repeats. A call that provably did not run may be repeated under its claim. */
 function recordResult(call: Call, ctx: ServeContext, key: string, nonce: string, served: ServeResult): void {
   const notRun = served.kind === 'error' && served.outcome === 'not_run';
   if (notRun) {
--- a/packages/core/src/procedures/served.ts
+++ b/packages/core/src/procedures/served.ts
@@ -3,18 +3,18 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** How the service of a call ends. */
+/** Results of served calls. */
 
 import type { ErrorKind, Outcome } from '../errors/errorKind.js';
 
-/** A whole answer of a target. */
+/** A complete response of a target. */
 export interface TargetResponse {
   status: number;
   headers: Record<string, string | string[]>;
   body: Uint8Array;
 }
 
-/** What a daemon tells the caller in the end: a target's whole answer, or an error of the closed list. */
+/** Result of a call for its caller: a target's complete response, or one of the error kinds. */
 export type ServeResult =
   | { kind: 'answer'; answer: TargetResponse }
   | {
@@ -22,11 +22,11 @@
       error: ErrorKind;
       outcome: Outcome;
       detail: string;
-      /** Set where `not_run` speaks of this try alone: an earlier try under the same key may have run. */
+      /** Set when `not_run` applies to this try only: an earlier try under the same key may have run. */
       thisTryOnly?: boolean;
     };
 
-/** Makes an error end. The outcome is what was proved of the attempts, not what the kind alone would allow. */
+/** Creates an error result. The outcome is the one that the attempts prove, which may differ from the default of the kind. */
 export function errorResult(error: ErrorKind, outcome: Outcome, detail: string): ServeResult {
   return { kind: 'error', error, outcome, detail };
 }
--- a/packages/core/src/procedures/settleCall.ts
+++ b/packages/core/src/procedures/settleCall.ts
@@ -4,10 +4,10 @@
  */
 
 /**
- * Settles who may run a keyed call, before its first run.
+ * Settles which daemon may run a keyed call, before its first run.
  *
- * Own keys: the first claim in the log's order counts. Minted and derived keys: one daemon's memory counts. In each case
- * whoever can't prove its right doesn't run.
+ * For own keys, the first claim in the log decides. For minted and derived keys, one daemon decides from its memory. A daemon that
+ * cannot prove its right does not run the call.
  */
 
 import type { ClaimRecord } from '@gentiandrum/protocol';
@@ -19,10 +19,10 @@
 import { type FetchResult, perform, type Procedure } from './effects.js';
 import { errorResult, type ServeResult } from './served.js';
 
-/** Right to run a call under a nonce, or the end of it. */
+/** The right to run a call under a nonce, or the call's result. */
 export type SettleResult = { kind: 'run'; nonce?: string } | { kind: 'done'; served: ServeResult };
 
-/** Settles a call with a key. */
+/** Settles the right to run a call. Calls without a key and idempotent calls may always run. */
 export function* settleCall(call: Call, ctx: ServeContext): Procedure<SettleResult> {
   const { key } = call;
   if (key.kind === 'none') {
@@ -44,7 +44,7 @@
   }
 }
 
-/** Looks at what this daemon knows of the key itself: a repeat joins, or gets the recorded answer. */
+/** Checks this daemon's own state of the key: a repeat joins the running call or returns its recorded result. */
 export function* joinKnown(call: Call, ctx: ServeContext): Procedure<ServeResult | undefined> {
   const key = keyText(call);
   const state = ctx.answers.get(key);
@@ -87,7 +87,7 @@
   return yield* fetchFromHolder(call, ctx, holder);
 }
 
-/** Claims by way of the daemon that batches for the shard; by itself when that one can't be reached. */
+/** Claims a key through the daemon that batches claims for the shard, or directly if that daemon is unreachable. */
 function* claim(record: ClaimRecord, ctx: ServeContext): Procedure<ClaimedInLog> {
   const { shard, index, relay } = ctx.claimShard(record.key);
   if (relay !== undefined) {
@@ -149,7 +149,7 @@
   }
 }
 
-/** Checks the deadline once more: the process may have been paused since it asked. */
+/** Grants the run after another check of the deadline, because the process may have been paused while the key was settled. */
 function startWithNonce(call: Call, ctx: ServeContext, nonce: string, reason: string): SettleResult {
   if (monotonicMs() >= call.deadline) {
     return abandonCall(call, ctx, nonce, 'deadline_before_start', 'The deadline passed before the key was settled.');
@@ -185,8 +185,7 @@
 }
 
 /**
- * Gives a call up whose claim may still land, or was granted: the nonce is kept, so that nothing runs under it by
- * surprise, and a repeat here can take the claim up again.
+ * Abandons a call whose claim was granted or may still be appended. Keeps the nonce, so that a repeat at this daemon can reuse the claim.
  */
 function abandonCall(call: Call, ctx: ServeContext, nonce: string, error: ErrorKind, detail: string): SettleResult {
   const settled = refuse(call, ctx, error, detail);
@@ -194,7 +193,7 @@
   return settled;
 }
 
-/** Ends a call that may not run under its key, now or later. */
+/** Refuses a call that may not run under its key and removes the key's local state. */
 function dropCall(call: Call, ctx: ServeContext, error: ErrorKind, detail: string): SettleResult {
   const settled = refuse(call, ctx, error, detail);
   ctx.answers.drop(keyText(call), settled.served);
--- a/packages/core/src/procedures/submitPatch.ts
+++ b/packages/core/src/procedures/submitPatch.ts
@@ -3,16 +3,16 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Submits an operator's patch and learns what became of it. */
+/** Submission of an operator's configuration patch, and refresh of the configuration snapshot. */
 
 import type { PatchRecord } from '@gentiandrum/protocol';
 import type { ConfigFold, PatchVerdict } from '../config/configFold.js';
 import { perform, type Procedure } from './effects.js';
 
-/** End of a submission. `unsettled`: the log must be asked again, with the same patch id. */
+/** Result of a submission. After `unsettled`, resubmit with the same patch id to learn the verdict. */
 export type SubmitResult = PatchVerdict | { kind: 'unavailable' } | { kind: 'unsettled' };
 
-/** Submits a patch. Repeating it with the same patch id is safe: the log's first copy counts. */
+/** Submits a patch. Idempotent for the same patch id: only the first copy in the log counts. */
 export function* submitPatch(record: PatchRecord, fold: ConfigFold): Procedure<SubmitResult> {
   const known = fold.verdict(record.patchId);
   if (known) {
@@ -39,7 +39,7 @@
   return read.kind === 'read' && appended.kind === 'appended' ? { kind: 'unavailable' } : { kind: 'unsettled' };
 }
 
-/** Keeps a snapshot in the log ahead of what retention drops. The fold is read to its end first. */
+/** Appends a snapshot of the fully read configuration, so that log retention does not drop it. Returns whether it was appended. */
 export function* refreshSnapshot(): Procedure<boolean> {
   const read = yield* perform('readConfig', {});
   if (read.kind === 'unavailable') {
--- a/packages/core/src/procedures/suspectChoice.ts
+++ b/packages/core/src/procedures/suspectChoice.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Where a call goes whose kind targets may have ended by. */
+/** Target choice for calls whose request fingerprint is suspected of crashing targets. */
 
 import type { RequestIdentity } from '../quarantine/requestFingerprint.js';
 import type { Suspicion } from '../quarantine/suspicion.js';
@@ -12,20 +12,20 @@
 import type { Call, ServeContext } from './callContext.js';
 import type { Payload } from './effects.js';
 
-/** What follows for the next attempt of a call. */
+/** Decision on the next attempt of a call. */
 export type SuspectChoice =
-  /** Nothing is held against its kind. */
+  /** Its request fingerprint is not suspected. */
   | { kind: 'free' }
-  /** It goes where all daemons try its kind; without a choice there is no such target. */
+  /** It goes to the target where all daemons probe its fingerprint; `choice` is undefined when no such target is left. */
   | { kind: 'suspect'; choice: Choice | undefined; suspicion: Suspicion }
   | { kind: 'refused'; reason: 'suspected' | 'quarantined' };
 
-/** What tells the kind of a call. */
+/** Properties of a call that its request fingerprint is computed from. */
 export function requestIdentity(service: string, { method, path, body }: Payload): RequestIdentity {
   return { method, host: service, path, body };
 }
 
-/** Decides on the next attempt of a call. */
+/** Decides whether and where the next attempt of a call may run. */
 export function chooseForSuspect(call: Call, ctx: ServeContext, tried: ReadonlySet<string>, now: number): SuspectChoice {
   const { service } = call.cls;
   const assessed = ctx.suspects.assess(() => requestIdentity(service, call.payload));
