--- a/packages/core/src/config/configFold.ts
+++ b/packages/core/src/config/configFold.ts
@@ -14,9 +14,9 @@
 import { mergePatch } from './mergePatch.js';
 
 /** Patch ids whose fate is remembered, for submitters whose reply was lost. */
-const kRecentPatches = 1_000;
+const kMaxRecentPatches = 1_000;
 /** Versions kept for `get --at` and `history`. */
-const kHistory = 100;
+const kMaxHistoryEntries = 100;
 
 /** What became of a patch. */
 export type PatchVerdict =
@@ -86,14 +86,14 @@
       return false;
     }
     const { patchId, base, patch, author } = parsed.data;
-    const verdict = this._judge(base, patch);
-    this._remember(patchId, verdict);
+    const verdict = this._applyPatch(base, patch);
+    this._storeVerdict(patchId, verdict);
     if (verdict.kind !== 'accepted') {
       return false;
     }
     this._lastAuthor = author;
     this._history.push({ version: this._version, author, patchId, config: this._written });
-    this._history = this._history.slice(-kHistory);
+    this._history = this._history.slice(-kMaxHistoryEntries);
     return true;
   }
 
@@ -132,16 +132,16 @@
     if (!config.success) {
       return false;
     }
-    const moved = body.version > this._version;
+    const versionChanged = body.version > this._version;
     this._next = body.offset;
     this._version = body.version;
     this._written = body.config;
     this._config = config.data;
     this._recent = new Map(body.recentPatches.map(({ patchId, verdict }) => [patchId, verdict as PatchVerdict]));
-    return moved;
+    return versionChanged;
   }
 
-  private _judge(base: number, patch: unknown): PatchVerdict {
+  private _applyPatch(base: number, patch: unknown): PatchVerdict {
     const verdict = this.check(base, patch);
     if (verdict.kind === 'accepted') {
       this._written = mergePatch(this._written, patch);
@@ -151,10 +151,10 @@
     return verdict;
   }
 
-  private _remember(patchId: string, verdict: PatchVerdict): void {
+  private _storeVerdict(patchId: string, verdict: PatchVerdict): void {
     this._recent.set(patchId, verdict);
     const oldest = this._recent.keys().next();
-    if (this._recent.size > kRecentPatches && !oldest.done) {
+    if (this._recent.size > kMaxRecentPatches && !oldest.done) {
       this._recent.delete(oldest.value);
     }
   }
--- a/tests/config/meshConfig.spec.ts
+++ b/tests/config/meshConfig.spec.ts
@@ -8,15 +8,15 @@
 import { parse } from 'yaml';
 import { describe, it } from '../support/describe.js';
 
-const kExample = new URL('../../../examples/routes.yaml', import.meta.url);
+const kExampleUrl = new URL('../../../examples/routes.yaml', import.meta.url);
 
 interface Example {
   routes: { prefix: string; host: string; destinations: { service: string }[] }[];
   services: unknown[];
 }
 
-function faultsOf(change: (cfg: Example) => void): string[] {
-  const cfg = parse(readFileSync(kExample, 'utf8')) as Example;
+function issuesOf(change: (cfg: Example) => void): string[] {
+  const cfg = parse(readFileSync(kExampleUrl, 'utf8')) as Example;
   change(cfg);
   const checked = meshConfigSchema.safeParse(cfg);
   return checked.success ? [] : checked.error.issues.map((issue) => `${issue.path.join('.')}: ${issue.message}`);
@@ -25,13 +25,13 @@
 describe('configuration of the routing daemon', () => {
   it('should take the example', (t) => {
     t.deepEqual(
-      faultsOf(() => undefined),
+      issuesOf(() => undefined),
       [],
     );
   });
 
   it('should call a key of two workspaces a fault for those who write it, without naming it', (t) => {
-    const cfg = meshConfigSchema.parse(parse(readFileSync(kExample, 'utf8')));
+    const cfg = meshConfigSchema.parse(parse(readFileSync(kExampleUrl, 'utf8')));
     t.deepEqual(workspaceFaults(cfg), []);
     const [first, second] = cfg.workspaces ?? [];
     second?.keys.push(first?.keys[0] ?? '');
@@ -40,13 +40,13 @@
 
   it('should refuse a service that is not declared, a second route for one place, and a prefix without its slashes', (t) => {
     t.deepEqual(
-      faultsOf((cfg) => {
+      issuesOf((cfg) => {
         cfg.services.pop();
       }),
       ['routes.1.destinations.1.service: expected a service declared under services, got "switching-next"'],
     );
     t.deepEqual(
-      faultsOf((cfg) => {
+      issuesOf((cfg) => {
         cfg.routes.forEach((route) => {
           route.prefix = '/same/';
         });
@@ -54,7 +54,7 @@
       [1, 2].map((at) => `routes.${at}.prefix: expected one route for api.example/same/, got a second`),
     );
     t.deepEqual(
-      faultsOf((cfg) => {
+      issuesOf((cfg) => {
         cfg.routes.forEach((route, i) => {
           route.prefix = i === 0 ? '/open' : route.prefix;
         });
