--- a/packages/core/src/errors/errorKind.ts
+++ b/packages/core/src/errors/errorKind.ts
@@ -4,27 +4,27 @@
  */
 
 /**
- * The closed list of error kinds, and the one table that says how each is answered.
+ * The closed list of error kinds, and the table of the responses to them.
  */
 
-/** What is known of a call that ended in an error. */
+/** What is known about the execution of a failed call. */
 export type Outcome = 'not_run' | 'unknown' | 'ran';
 
-/** How an error kind is answered. */
+/** Response to an error kind. */
 export interface ErrorResponse {
   /** HTTP status. */
   status: number;
-  /** What the kind alone proves; the attempts of a call may prove less, see `proveOutcome`. */
+  /** Outcome that the kind implies; the attempts of a call may prove less, see `proveOutcome`. */
   outcome: Outcome;
   /** Whether the caller may repeat the same request, with the same key if it has one. */
   repeat: boolean;
-  /** Whether the answer tells when to come back. */
+  /** Whether the response has a `Retry-After` header. */
   retryAfter: boolean;
-  /** Short text for people. */
+  /** Human-readable summary. */
   title: string;
 }
 
-/** Kind → answer. */
+/** Error kind → response. */
 export const kErrorResponses = {
   bad_request: { status: 400, outcome: 'not_run', repeat: false, retryAfter: false, title: 'Malformed request' },
   bad_chain_token: { status: 400, outcome: 'not_run', repeat: false, retryAfter: false, title: 'Chain token forged or truncated' },
@@ -76,15 +76,15 @@
   },
 } as const satisfies Record<string, ErrorResponse>;
 
-/** One of the error kinds. */
+/** Name of an error kind. */
 export type ErrorKind = keyof typeof kErrorResponses;
 
-/** Tells whether a text names an error kind. */
+/** Whether a text is the name of an error kind. */
 export function isErrorKind(text: string): text is ErrorKind {
   return Object.hasOwn(kErrorResponses, text);
 }
 
-/** Looks up how a kind is answered. */
+/** Returns the response to an error kind. */
 export function errorResponse(kind: ErrorKind): ErrorResponse {
   return kErrorResponses[kind];
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Decisions of the overload control layer, without input or output. */
+/** Decision logic of the overload control layer, free of input and output. */
 
 export * from './admission/adaptiveLimit.js';
 export * from './admission/admissionLevel.js';
