--- a/packages/core/src/config/configFold.ts
+++ b/packages/core/src/config/configFold.ts
@@ -6,19 +6,19 @@
 /**
  * The configuration as a fold over the stream of patches.
  *
- * Every daemon folds the same records in the same order with the same rules, so all hold the same version without
- * agreeing on anything else. A patch is accepted when its base is the current version and the result is valid.
+ * Every daemon folds the same records in the same order with the same rules, so all daemons reach the same version without further
+ * coordination. A patch is accepted when its base is the current version and the result is valid.
  */
 
 import { type Config, type SnapshotRecord, configSchema, patchRecordSchema, snapshotRecordSchema } from '@gentiandrum/protocol';
 import { mergePatch } from './mergePatch.js';
 
-/** Patch ids whose fate is remembered, for submitters whose reply was lost. */
+/** Number of patch ids with a stored verdict, for submitters that lost the reply. */
 const kMaxRecentPatches = 1_000;
-/** Versions kept for `get --at` and `history`. */
+/** Number of versions kept for `get --at` and `history`. */
 const kMaxHistoryEntries = 100;
 
-/** What became of a patch. */
+/** Verdict on a patch. */
 export type PatchVerdict =
   | { kind: 'accepted'; version: number }
   | { kind: 'conflict'; current: number; wonBy: string }
@@ -32,11 +32,11 @@
   config: unknown;
 }
 
-/** Folded configuration of one daemon. */
+/** Configuration of one daemon, folded from patches and snapshots. */
 export class ConfigFold {
   private _version = 0;
   private _next = 0;
-  /** What operators wrote, before defaults: patches apply to it. */
+  /** Configuration without defaults, which patches apply to. */
   private _written: unknown = {};
   private _config: Config = configSchema.parse({});
   private _recent = new Map<string, PatchVerdict>();
@@ -58,23 +58,23 @@
     return this._config;
   }
 
-  /** Current configuration as operators wrote it. */
+  /** Current configuration as operators wrote it, without defaults. */
   get written(): unknown {
     return this._written;
   }
 
-  /** Latest accepted versions, oldest first. */
+  /** Latest accepted versions, in ascending order. */
   get history(): readonly HistoryEntry[] {
     return this._history;
   }
 
-  /** What became of a patch, if it is known. */
+  /** Verdict on a patch; undefined when it is not folded yet or no longer stored. */
   verdict(patchId: string): PatchVerdict | undefined {
     return this._recent.get(patchId);
   }
 
   /**
-   * Folds one record. Records before `next` were folded already and change nothing. True when a new version came of it.
+   * Folds one record. Records before `next` are already folded and change nothing. Returns whether it produced a new version.
    */
   apply(offset: number, value: unknown): boolean {
     if (offset < this._next) {
@@ -109,7 +109,7 @@
     return { kind: 'accepted', version: this._version + 1 };
   }
 
-  /** The fold's state as a snapshot record; `hash` digests its text. */
+  /** Returns the state as a snapshot record; `hash` computes the digest of its JSON text. */
   snapshot(hash: (text: string) => string): SnapshotRecord {
     const recentPatches = [...this._recent].map(([patchId, verdict]) => ({ patchId, verdict }));
     const body = { offset: this._next, version: this._version, config: this._written, recentPatches };
@@ -117,7 +117,7 @@
   }
 
   /**
-   * Adopts a snapshot if it is ahead of what is held; a late or damaged one changes nothing. True when it was adopted.
+   * Adopts a snapshot that is ahead of the current state; ignores outdated and damaged ones. Returns whether the version increased.
    */
   adopt(value: unknown, hash: (text: string) => string): boolean {
     const parsed = snapshotRecordSchema.safeParse(value);
--- a/packages/core/src/config/mergePatch.ts
+++ b/packages/core/src/config/mergePatch.ts
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Merge patches, RFC 7396. */
+/** JSON merge patches (RFC 7396). */
 
-/** Applies a merge patch to a JSON value; neither is changed. */
+/** Returns the result of applying a merge patch to a JSON value. Neither argument is modified; `__proto__` keys are ignored. */
 export function mergePatch(target: unknown, patch: unknown): unknown {
   if (!isObject(patch)) {
     return patch;
--- a/tests/config/fold.spec.ts
+++ b/tests/config/fold.spec.ts
@@ -18,7 +18,7 @@
 }
 
 describe('a configuration fold', () => {
-  it('should accept exactly one of two racing patches, and tell the other what it lost to', (t) => {
+  it('should accept exactly one of two concurrent patches and report the conflicting version and author to the other', (t) => {
     const fold = new ConfigFold();
     fold.apply(0, record('one', 0, { retryRatio: 0.2 }));
     fold.apply(1, record('two', 0, { retryRatio: 0.3 }));
@@ -27,14 +27,14 @@
     t.deepEqual(fold.verdict('patch-two'), { kind: 'conflict', current: 1, wonBy: 'one' });
   });
 
-  it('should fold a patch once, however often the log holds it', (t) => {
+  it('should fold a patch once when the log contains duplicates', (t) => {
     const fold = new ConfigFold();
     fold.apply(0, record('one', 0, { retryRatio: 0.2 }));
     fold.apply(1, record('one', 1, { retryRatio: 0.2 }));
     t.is(fold.version, 1);
   });
 
-  it('should refuse what gives an invalid configuration, and name the place', (t) => {
+  it('should reject a patch that makes the configuration invalid and report the path', (t) => {
     const fold = new ConfigFold();
     fold.apply(0, record('one', 0, { classes: { read: { service: 'nowhere' } } }));
     const verdict = fold.verdict('patch-one');
@@ -43,7 +43,7 @@
     t.is(fold.version, 0);
   });
 
-  it('should pass over records that are no patches', (t) => {
+  it('should skip records that are not patches', (t) => {
     const fold = new ConfigFold();
     [null, 7, 'text', {}, { patchId: 'short' }, record('one', 0, { retryRatio: 0.2 })].forEach((value, offset) =>
       fold.apply(offset, value),
@@ -52,7 +52,7 @@
     t.is(fold.next, 6);
   });
 
-  it('should never go back: stale, late and damaged snapshots change nothing', (t) => {
+  it('should ignore outdated and damaged snapshots', (t) => {
     const early = new ConfigFold();
     early.apply(0, record('one', 0, { retryRatio: 0.2 }));
     const stale = early.snapshot(digest);
@@ -66,7 +66,7 @@
     t.is(fold.config.retryRatio, 0.3);
   });
 
-  it('should reach the same state by any mix of snapshots and records, and only grow on the way', (t) => {
+  it('should reach the same state from any mix of snapshots and records without decreasing the version', (t) => {
     const patch = fc.record({ id: fc.nat(8), base: fc.nat(4), ratio: fc.integer({ min: 0, max: 150 }) });
     const step = fc.record({ kind: fc.constantFrom('record', 'snapshot'), at: fc.nat(30) });
     fc.assert(
@@ -102,7 +102,7 @@
 });
 
 describe('a merge patch', () => {
-  it('should set, replace and remove as RFC 7396 says', (t) => {
+  it('should set, replace and remove keys according to RFC 7396', (t) => {
     t.deepEqual(mergePatch({ a: 1, b: { c: 2, d: 3 } }, { a: null, b: { c: 4 }, e: [5] }), { b: { c: 4, d: 3 }, e: [5] });
     t.deepEqual(mergePatch(['a'], { b: 1 }), { b: 1 });
   });
--- a/tests/config/meshConfig.spec.ts
+++ b/tests/config/meshConfig.spec.ts
@@ -23,14 +23,14 @@
 }
 
 describe('configuration of the routing daemon', () => {
-  it('should take the example', (t) => {
+  it('should accept the example', (t) => {
     t.deepEqual(
       issuesOf(() => undefined),
       [],
     );
   });
 
-  it('should call a key of two workspaces a fault for those who write it, without naming it', (t) => {
+  it('should report a key shared by two workspaces without revealing the key', (t) => {
     const cfg = meshConfigSchema.parse(parse(readFileSync(kExampleUrl, 'utf8')));
     t.deepEqual(workspaceFaults(cfg), []);
     const [first, second] = cfg.workspaces ?? [];
@@ -38,7 +38,7 @@
     t.deepEqual(workspaceFaults(cfg), ['workspaces.1.keys.1: expected a key of one workspace, got one that crews has too']);
   });
 
-  it('should refuse a service that is not declared, a second route for one place, and a prefix without its slashes', (t) => {
+  it('should reject undeclared services, duplicate routes and prefixes without enclosing slashes', (t) => {
     t.deepEqual(
       issuesOf((cfg) => {
         cfg.services.pop();
