--- a/bench/matrix/main.ts
+++ b/bench/matrix/main.ts
@@ -5,23 +5,23 @@
 
 /** Runs the whole fault matrix, with every pair, and prints it. */
 
-import { emptyRows, runMatrix } from '../../tests/matrix/runMatrix.js';
+import { uncoveredFaults, runMatrix } from '../../tests/matrix/runMatrix.js';
 import { kScenarios } from '../../tests/matrix/scenarios.js';
 
 const kShown = 20;
 
 const report = runMatrix(kScenarios, () => true);
-const empty = emptyRows(report);
+const empty = uncoveredFaults(report);
 console.log('cells by effect and fault; the scenarios are deterministic, seed 1 for routing');
-console.table([...report.byFault].sort().map(([row, cells]) => ({ row, cells })));
+console.table([...report.cellsByFault].sort().map(([row, cells]) => ({ row, cells })));
 report.violations.slice(0, kShown).forEach((violation) => {
   console.log(violation);
 });
 empty.forEach((row) => {
   console.log(`no cell: ${row}`);
 });
-report.missed.slice(0, kShown).forEach((step) => {
+report.notInjected.slice(0, kShown).forEach((step) => {
   console.log(`missed: ${step}`);
 });
 console.log(JSON.stringify({ cells: report.cells, violations: report.violations.length, pairs: report.pairs }));
-process.exit(report.violations.length + empty.length + report.missed.length === 0 ? 0 : 1);
+process.exit(report.violations.length + empty.length + report.notInjected.length === 0 ? 0 : 1);
--- a/tests/matrix/brokenVariants.ts
+++ b/tests/matrix/brokenVariants.ts
@@ -11,17 +11,17 @@
 /** A broken variant: what it leaves out, and the promise that must be seen broken. */
 export interface BrokenVariant {
   name: string;
-  promise: string;
+  guarantee: string;
   /** Breaks the mechanism; returns how to mend it. */
   install: () => () => void;
 }
 
 /** Replaces a method of a class for a while. */
 function replace<T extends object, K extends keyof T>(proto: T, method: K, broken: T[K]): () => void {
-  const whole = proto[method];
+  const original = proto[method];
   proto[method] = broken;
   return () => {
-    proto[method] = whole;
+    proto[method] = original;
   };
 }
 
@@ -29,24 +29,24 @@
 export const kBrokenVariants: BrokenVariant[] = [
   {
     name: 'a retry allowance that is copied to each call',
-    promise: '1 retries bounded',
+    guarantee: '1 retries bounded',
     install: () => {
-      const mends = [
+      const restores = [
         replace(RetryLedger.prototype, 'reserve', () => 2),
         replace(RetryLedger.prototype, 'takeOne', () => true),
         replace(RetryLedger.prototype, 'remaining', () => 2),
         replace(RetryRatio.prototype, 'spend', () => true),
       ];
       return () => {
-        mends.forEach((mend) => {
-          mend();
+        restores.forEach((restore) => {
+          restore();
         });
       };
     },
   },
   {
     name: 'a claim that runs before it is read back',
-    promise: '5 at most once',
+    guarantee: '5 at most once',
     install: () =>
       replace(ClaimIndex.prototype, 'apply', function apply(this: ClaimIndex, _offset: number, value: unknown) {
         const latest = (value as { key: string }[]).at(-1);
@@ -57,7 +57,7 @@
   },
   {
     name: 'a snapshot that is adopted without a look at its version',
-    promise: '8 configuration',
+    guarantee: '8 configuration',
     install: () =>
       replace(ConfigFold.prototype, 'adopt', function adopt(this: ConfigFold, value: unknown) {
         const { version, offset, config } = value as { version: number; offset: number; config: unknown };
@@ -67,12 +67,12 @@
   },
   {
     name: 'a gate that forgets that it is closed',
-    promise: '6 leaving takes nothing',
+    guarantee: '6 leaving takes nothing',
     install: () => replace(Gate.prototype, 'close', () => undefined),
   },
   {
     name: 'an adapter that calls a lost reply not sent',
-    promise: '4 not run',
+    guarantee: '4 not run',
     install: () => {
       kAdapter.lostMayHaveRun = false;
       return () => {
--- a/tests/matrix/checkers.ts
+++ b/tests/matrix/checkers.ts
@@ -5,28 +5,28 @@
 
 /** The eight promises of the brief, checked after each cell. */
 
-import { textOf } from './matrixDaemon.js';
+import { bodyText } from './matrixDaemon.js';
 import type { Journal } from './journal.js';
 import type { ConfigFold } from '@gentiandrum/core';
 
 /** State at the end of a cell, once nothing moves any more. */
-export interface Ending {
+export interface FinalState {
   journal: Journal;
   /** Configuration as each living daemon holds it, all having read the log to its end. */
   folds: Map<string, ConfigFold>;
 }
 
 /** Violations of the promises, in words; none when all hold. */
-export function violations({ journal, folds }: Ending): string[] {
+export function violations({ journal, folds }: FinalState): string[] {
   return [
     ...retriesBounded(journal),
     ...importantShedLast(journal),
-    ...wholeAnswers(journal),
+    ...completeResponses(journal),
     ...notRunIsTrue(journal),
     ...atMostOnce(journal),
-    ...leavingTakesNothing(journal),
-    ...plannedStopsCutNothing(journal),
-    ...configurationStands(journal, folds),
+    ...closedGateStartsNothing(journal),
+    ...plannedStopsInterruptNothing(journal),
+    ...configurationIsConsistent(journal, folds),
   ];
 }
 
@@ -44,10 +44,10 @@
   );
 }
 
-function wholeAnswers({ tries }: Journal): string[] {
+function completeResponses({ tries }: Journal): string[] {
   return tries.flatMap(({ request, served, body }) =>
-    served?.kind === 'answer' && served.answer.status === 200 && textOf(served.answer) !== `answer to ${body}`
-      ? [`3 whole answers: ${request} with body ${body} got "${textOf(served.answer)}"`]
+    served?.kind === 'answer' && served.answer.status === 200 && bodyText(served.answer) !== `answer to ${body}`
+      ? [`3 whole answers: ${request} with body ${body} got "${bodyText(served.answer)}"`]
       : [],
   );
 }
@@ -57,46 +57,47 @@
     if (served?.kind !== 'error' || served.outcome !== 'not_run') {
       return [];
     }
-    const wider = served.thisTryOnly !== true && served.error !== 'key_mismatch' ? key : undefined;
+    const keyInScope = served.thisTryOnly !== true && served.error !== 'key_mismatch' ? key : undefined;
     const ran = runs.some(
-      (run) => run.request === request || (wider !== undefined && run.meaning === wider && wasBefore(tries, request, run.request)),
+      (run) =>
+        run.request === request || (keyInScope !== undefined && run.onceKey === keyInScope && isSameOrEarlier(tries, request, run.request)),
     );
     return ran ? [`4 not run: ${request} was told ${served.error}, not_run, and ran`] : [];
   });
 }
 
 /** Whether `other` is the same or an earlier try than `request`. */
-function wasBefore(tries: Journal['tries'], request: string, other: string): boolean {
+function isSameOrEarlier(tries: Journal['tries'], request: string, other: string): boolean {
   const index = (id: string): number => tries.findIndex((attempt) => attempt.request === id);
   return index(other) >= 0 && index(other) <= index(request);
 }
 
 function atMostOnce({ runs }: Journal): string[] {
   const counts = new Map<string, number>();
-  for (const { meaning } of runs.filter((run) => !run.idempotent)) {
-    counts.set(meaning, (counts.get(meaning) ?? 0) + 1);
+  for (const { onceKey } of runs.filter((run) => !run.idempotent)) {
+    counts.set(onceKey, (counts.get(onceKey) ?? 0) + 1);
   }
-  return [...counts].filter(([, count]) => count > 1).map(([meaning, count]) => `5 at most once: ${meaning} ran ${count} times`);
+  return [...counts].filter(([, count]) => count > 1).map(([onceKey, count]) => `5 at most once: ${onceKey} ran ${count} times`);
 }
 
-function leavingTakesNothing({ runs, closed }: Journal): string[] {
+function closedGateStartsNothing({ runs, closed }: Journal): string[] {
   return runs
     .filter(({ host, at }) => at > (closed.get(host) ?? Infinity))
     .map(({ host, request }) => `6 leaving takes nothing: ${host} started ${request} after it closed`);
 }
 
-function plannedStopsCutNothing({ stops, runs }: Journal): string[] {
+function plannedStopsInterruptNothing({ stops, runs }: Journal): string[] {
   return stops.flatMap(({ host, cut }) => {
-    const lost = runs.filter((run) => run.host === host && run.cut);
-    return cut > 0 || lost.length > 0 ? [`7 planned stop: ${host} cut ${cut + lost.length} calls`] : [];
+    const interrupted = runs.filter((run) => run.host === host && run.cut);
+    return cut > 0 || interrupted.length > 0 ? [`7 planned stop: ${host} cut ${cut + interrupted.length} calls`] : [];
   });
 }
 
-function configurationStands({ versions, submitted }: Journal, folds: Map<string, ConfigFold>): string[] {
+function configurationIsConsistent({ versions, submitted }: Journal, folds: Map<string, ConfigFold>): string[] {
   const faults: string[] = [];
-  for (const [daemon, held] of versions) {
-    if (held.some((version, i) => i > 0 && version < (held[i - 1] ?? 0))) {
-      faults.push(`8 configuration: ${daemon} went back: ${held.join(' ')}`);
+  for (const [daemon, heldVersions] of versions) {
+    if (heldVersions.some((version, i) => i > 0 && version < (heldVersions[i - 1] ?? 0))) {
+      faults.push(`8 configuration: ${daemon} went back: ${heldVersions.join(' ')}`);
     }
   }
   const texts = new Set([...folds.values()].map((fold) => JSON.stringify([fold.version, fold.written])));
--- a/tests/matrix/faults.ts
+++ b/tests/matrix/faults.ts
@@ -39,33 +39,33 @@
   | 'timeout';
 
 /** Faults of a daemon itself; they can strike at any step. */
-const kAnywhere: readonly Fault[] = ['pause', 'crash_before', 'crash_after'];
-const kRequest: readonly Fault[] = [...kAnywhere, 'lost_before', 'lost_after', 'late'];
-const kAppend: readonly Fault[] = [...kRequest, 'refused', 'duplicate', 'rival'];
+const kDaemonFaults: readonly Fault[] = ['pause', 'crash_before', 'crash_after'];
+const kRequestFaults: readonly Fault[] = [...kDaemonFaults, 'lost_before', 'lost_after', 'late'];
+const kAppendFaults: readonly Fault[] = [...kRequestFaults, 'refused', 'duplicate', 'rival'];
 
 /** Effect → faults. */
 export const kFaults: Record<EffectName, readonly Fault[]> = {
-  offer: [...kRequest, 'refused', 'duplicate', 'peer_crash'],
-  awaitEvent: [...kAnywhere, 'caller_gone', 'timeout'],
-  cancel: kRequest,
-  appendClaim: kAppend,
-  readClaims: [...kAnywhere, 'refused', 'late'],
-  relayClaim: [...kRequest, 'refused', 'rival', 'peer_crash'],
-  settleKey: [...kRequest, 'rival', 'peer_crash'],
-  fetchAnswer: [...kRequest, 'peer_crash'],
-  joinRunning: [...kAnywhere, 'timeout'],
-  awaitAdmission: kAnywhere,
-  forward: [...kAnywhere, 'lost_before', 'lost_after', 'late', 'target_fails', 'target_sheds', 'truncated', 'timeout'],
-  appendPatch: kAppend,
-  readConfig: [...kAnywhere, 'refused', 'late'],
-  readSnapshots: [...kAnywhere, 'refused', 'stale'],
-  appendSnapshot: [...kAnywhere, 'lost_before', 'lost_after', 'late', 'refused', 'duplicate'],
-  queryPeers: [...kAnywhere, 'lost_before', 'stale'],
-  appendMember: [...kAnywhere, 'lost_before', 'lost_after', 'refused', 'duplicate'],
-  notifyPeers: [...kAnywhere, 'lost_before'],
-  sleep: kAnywhere,
-  awaitIdle: [...kAnywhere, 'timeout'],
-  awaitSenders: [...kAnywhere, 'timeout'],
+  offer: [...kRequestFaults, 'refused', 'duplicate', 'peer_crash'],
+  awaitEvent: [...kDaemonFaults, 'caller_gone', 'timeout'],
+  cancel: kRequestFaults,
+  appendClaim: kAppendFaults,
+  readClaims: [...kDaemonFaults, 'refused', 'late'],
+  relayClaim: [...kRequestFaults, 'refused', 'rival', 'peer_crash'],
+  settleKey: [...kRequestFaults, 'rival', 'peer_crash'],
+  fetchAnswer: [...kRequestFaults, 'peer_crash'],
+  joinRunning: [...kDaemonFaults, 'timeout'],
+  awaitAdmission: kDaemonFaults,
+  forward: [...kDaemonFaults, 'lost_before', 'lost_after', 'late', 'target_fails', 'target_sheds', 'truncated', 'timeout'],
+  appendPatch: kAppendFaults,
+  readConfig: [...kDaemonFaults, 'refused', 'late'],
+  readSnapshots: [...kDaemonFaults, 'refused', 'stale'],
+  appendSnapshot: [...kDaemonFaults, 'lost_before', 'lost_after', 'late', 'refused', 'duplicate'],
+  queryPeers: [...kDaemonFaults, 'lost_before', 'stale'],
+  appendMember: [...kDaemonFaults, 'lost_before', 'lost_after', 'refused', 'duplicate'],
+  notifyPeers: [...kDaemonFaults, 'lost_before'],
+  sleep: kDaemonFaults,
+  awaitIdle: [...kDaemonFaults, 'timeout'],
+  awaitSenders: [...kDaemonFaults, 'timeout'],
 };
 
 /** A fault at a step of a scenario. */
--- a/tests/matrix/journal.ts
+++ b/tests/matrix/journal.ts
@@ -28,7 +28,7 @@
   /** Root request of its chain. */
   root: string;
   /** What must run once: caller's key, or the meaning of an onward call. */
-  meaning: string;
+  onceKey: string;
   idempotent: boolean;
   rank: number;
   at: number;
@@ -55,25 +55,25 @@
   private _order = 0;
 
   /** Next number in the order of what happened. */
-  next(): number {
+  nextOrder(): number {
     return this._order++;
   }
 
   /** Notes a run at a target. */
-  ran(run: TargetRun): void {
+  recordRun(run: TargetRun): void {
     this.runs.push(run);
-    this.started.push({ host: run.host, rank: run.rank, at: run.at, order: this.next() });
+    this.started.push({ host: run.host, rank: run.rank, at: run.at, order: this.nextOrder() });
   }
 
   /** Notes a retry. */
-  retried(root: string): void {
+  recordRetry(root: string): void {
     this.retries.set(root, (this.retries.get(root) ?? 0) + 1);
   }
 
   /** Notes the version that a daemon holds. */
-  holds(daemon: string, version: number): void {
-    const held = this.versions.get(daemon) ?? [];
-    held.push(version);
-    this.versions.set(daemon, held);
+  recordVersion(daemon: string, version: number): void {
+    const heldVersions = this.versions.get(daemon) ?? [];
+    heldVersions.push(version);
+    this.versions.set(daemon, heldVersions);
   }
 }
--- a/tests/matrix/matrix.spec.ts
+++ b/tests/matrix/matrix.spec.ts
@@ -8,36 +8,36 @@
 import { seededRandom } from '@gentiandrum/core';
 import { describe, itAlone } from '../support/describe.js';
 import { kBrokenVariants } from './brokenVariants.js';
-import { emptyRows, runMatrix } from './runMatrix.js';
+import { uncoveredFaults, runMatrix } from './runMatrix.js';
 import { kScenarios } from './scenarios.js';
 
 const kSeed = 7;
-const kPairShare = 0.05;
+const kPairRatio = 0.05;
 
 describe('the fault matrix', () => {
   itAlone('should hold all eight promises under every fault at every step, and under sampled pairs', (t) => {
     const random = seededRandom(kSeed);
-    const report = runMatrix(kScenarios, () => random() < kPairShare);
+    const report = runMatrix(kScenarios, () => random() < kPairRatio);
     t.deepEqual(report.violations, []);
-    t.deepEqual(report.missed, []);
+    t.deepEqual(report.notInjected, []);
     t.log(`${report.cells} cells, ${report.pairs} pairs, seed ${kSeed}`);
   });
 
   itAlone('should have a cell for every fault that an effect admits', (t) => {
-    t.deepEqual(emptyRows(runMatrix(kScenarios, () => false)), []);
+    t.deepEqual(uncoveredFaults(runMatrix(kScenarios, () => false)), []);
   });
 
-  for (const { name, promise, install } of kBrokenVariants) {
+  for (const { name, guarantee, install } of kBrokenVariants) {
     itAlone(`should catch ${name}`, (t) => {
-      const mend = install();
+      const restore = install();
       try {
         const { violations } = runMatrix(kScenarios, () => false);
         t.true(
-          violations.some((violation) => violation.includes(promise)),
-          `expected a violation of "${promise}", got ${violations.slice(0, 3).join('; ') || 'none'}`,
+          violations.some((violation) => violation.includes(guarantee)),
+          `expected a violation of "${guarantee}", got ${violations.slice(0, 3).join('; ') || 'none'}`,
         );
       } finally {
-        mend();
+        restore();
       }
     });
   }
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -32,7 +32,7 @@
 const kClaims = 1_000;
 
 /** What the world gives a daemon. */
-export interface DaemonPlan {
+export interface DaemonOptions {
   id: string;
   service: string;
   candidates: (service: string) => Candidate[];
@@ -51,24 +51,24 @@
   readonly settler = new KeySettler();
   readonly index = new ClaimIndex(kClaims);
   readonly fold = new ConfigFold();
-  readonly waiting = new Map<string, (end: AdmissionResult) => void>();
+  readonly queuedCalls = new Map<string, (end: AdmissionResult) => void>();
   readonly running = new Map<string, () => void>();
-  readonly onDeath = new Set<() => void>();
+  readonly onCrash = new Set<() => void>();
   readonly gate: Gate<GateCall>;
-  readonly serve: ServeContext;
+  readonly serveContext: ServeContext;
   readonly gateContext: GateContext;
   readonly seen = new Set<string>();
-  dead = false;
+  crashed = false;
   stopping = false;
   pausedUntil = 0;
   inFlight = 0;
   snapshotNext = 0;
 
   constructor(
-    readonly plan: DaemonPlan,
+    readonly options: DaemonOptions,
     readonly incarnation: number,
   ) {
-    const { id, journal } = plan;
+    const { id, journal } = options;
     const events = {
       onStart: (call: GateCall) => {
         this._admit(call.id, { kind: 'started' });
@@ -88,21 +88,21 @@
       },
       logDecision: () => undefined,
     };
-    this.serve = this._makeServe(journal);
+    this.serveContext = this._makeServe(journal);
   }
 
   /** `daemon/incarnation`. */
   get name(): string {
-    return `${this.plan.id}/${this.incarnation}`;
+    return `${this.options.id}/${this.incarnation}`;
   }
 
   /** Dies: all that runs is lost, and so is its memory. */
-  die(): void {
-    this.dead = true;
-    for (const notice of this.onDeath) {
-      notice();
+  crash(): void {
+    this.crashed = true;
+    for (const notify of this.onCrash) {
+      notify();
     }
-    this.onDeath.clear();
+    this.onCrash.clear();
   }
 
   /** Tells a call that waits at the gate what became of it. */
@@ -111,13 +111,13 @@
   }
 
   private _admit(attempt: string, end: AdmissionResult): void {
-    const resume = this.waiting.get(attempt);
-    this.waiting.delete(attempt);
+    const resume = this.queuedCalls.get(attempt);
+    this.queuedCalls.delete(attempt);
     resume?.(end);
   }
 
   private _makeServe(journal: Journal): ServeContext {
-    const { id, candidates, newId, relay, rootOf } = this.plan;
+    const { id, candidates, newId, relay, rootOf } = this.options;
     const ratio = new RetryRatio(() => 1);
     return {
       daemon: { id, incarnation: this.incarnation, address: id },
@@ -136,7 +136,7 @@
       newId,
       logDecision: ({ step, request }) => {
         if (step === 'retry' || step === 'compete') {
-          journal.retried(rootOf(request));
+          journal.recordRetry(rootOf(request));
         }
       },
     };
@@ -144,6 +144,6 @@
 }
 
 /** Text of an answer's body. */
-export function textOf(answer: TargetResponse): string {
+export function bodyText(answer: TargetResponse): string {
   return Buffer.from(answer.body).toString();
 }
--- a/tests/matrix/matrixLog.ts
+++ b/tests/matrix/matrixLog.ts
@@ -14,7 +14,7 @@
 
 /** Stream of the only shard. */
 export const kClaimStream = claimStream(0);
-const kLostMs = 20;
+const kLostReplyMs = 20;
 
 /** The log. */
 export class MatrixLog {
@@ -32,7 +32,7 @@
       return;
     }
     if (fault === 'lost_before') {
-      reply({ kind: 'lost' }, kLostMs);
+      reply({ kind: 'lost' }, kLostReplyMs);
       return;
     }
     if (fault === 'rival') {
@@ -86,11 +86,11 @@
 
   /** Notes that a rival runs the call of a key. */
   rivalRuns(key: string): void {
-    this._journal.ran({
+    this._journal.recordRun({
       host: 'rival',
       request: 'rival',
       root: 'rival',
-      meaning: key,
+      onceKey: key,
       idempotent: false,
       rank: 0,
       at: this._time.now,
--- a/tests/matrix/matrixPeers.ts
+++ b/tests/matrix/matrixPeers.ts
@@ -12,7 +12,7 @@
 import type { MatrixWorld } from './matrixWorld.js';
 import type { Resume } from './session.js';
 
-const kLostMs = 20;
+const kLostReplyMs = 20;
 const kWorkMs = 5;
 
 type EffectOf<K extends Effect['type']> = Extract<Effect, { type: K }>;
@@ -20,19 +20,19 @@
 
 /** Questions between daemons. */
 export class MatrixPeers {
-  private readonly _rivalRan = new Set<string>();
+  private readonly _rivalRuns = new Set<string>();
 
   constructor(private readonly _world: MatrixWorld) {}
 
   /** A daemon appends a claim for another. */
   relayClaim(effect: EffectOf<'relayClaim'>, reply: ReplyLater, fault: Fault | undefined): void {
-    const home = this._world.daemon(effect.to);
+    const relay = this._world.daemon(effect.to);
     if (fault === 'refused') {
       reply({ kind: 'unavailable' });
       return;
     }
-    if (fault === 'lost_before' || home.dead) {
-      reply({ kind: 'unreachable' }, kLostMs);
+    if (fault === 'lost_before' || relay.crashed) {
+      reply({ kind: 'unreachable' }, kLostReplyMs);
       return;
     }
     if (fault === 'rival') {
@@ -41,12 +41,12 @@
     const records = this._world.log.stream(kClaimStream);
     records.push([structuredClone(effect.record)]);
     records.forEach((value, offset) => {
-      home.index.apply(offset, value);
+      relay.index.apply(offset, value);
     });
     if (fault === 'peer_crash') {
-      home.die();
+      relay.crash();
     }
-    const holder = home.index.holder(effect.record.key);
+    const holder = relay.index.holder(effect.record.key);
     const answered = holder && fault !== 'lost_after' && fault !== 'peer_crash';
     reply(answered ? { kind: 'holder', holder } : { kind: 'unreachable' });
   }
@@ -54,19 +54,19 @@
   /** A daemon settles a key of its own. */
   settleKey(effect: EffectOf<'settleKey'>, reply: ReplyLater, fault: Fault | undefined): void {
     const settler = this._world.daemon(effect.to);
-    if (fault === 'lost_before' || settler.dead) {
-      reply({ kind: 'unreachable' }, kLostMs);
+    if (fault === 'lost_before' || settler.crashed) {
+      reply({ kind: 'unreachable' }, kLostReplyMs);
       return;
     }
     const { bid, root, incarnation } = effect;
-    const settle = (made: typeof bid): Reply =>
-      root === undefined ? settler.settler.settleMinted(made) : settler.settler.settleDerived(root, made);
+    const settle = (candidateBid: typeof bid): Reply =>
+      root === undefined ? settler.settler.settleMinted(candidateBid) : settler.settler.settleDerived(root, candidateBid);
     if (fault === 'rival' && (settle({ ...bid, claimant: 'rival/1', address: 'rival' }) as { kind: string }).kind === 'granted') {
       this._rivalRunsOnce(bid.key);
     }
     const verdict = incarnation === settler.incarnation ? settle(bid) : ({ kind: 'unknown' } as const);
     if (fault === 'peer_crash') {
-      settler.die();
+      settler.crash();
     }
     reply(fault === 'lost_after' || fault === 'peer_crash' ? { kind: 'unreachable' } : verdict);
   }
@@ -75,7 +75,7 @@
   fetchAnswer(effect: EffectOf<'fetchAnswer'>, reply: ReplyLater, fault: Fault | undefined): void {
     const { address, key, body, claimant } = effect;
     if (fault === 'lost_before' || fault === 'lost_after') {
-      reply({ kind: 'unreachable' }, kLostMs);
+      reply({ kind: 'unreachable' }, kLostReplyMs);
       return;
     }
     if (address === 'rival') {
@@ -85,9 +85,9 @@
     }
     const holder = this._world.daemon(address);
     if (fault === 'peer_crash') {
-      holder.die();
+      holder.crash();
     }
-    if (holder.dead) {
+    if (holder.crashed) {
       reply({ kind: 'unreachable' });
       return;
     }
@@ -106,7 +106,7 @@
   }
 
   /** Waits for the running call of a key. */
-  join(daemon: MatrixDaemon, effect: EffectOf<'joinRunning'>, resume: Resume, fault: Fault | undefined): void {
+  joinRunning(daemon: MatrixDaemon, effect: EffectOf<'joinRunning'>, resume: Resume, fault: Fault | undefined): void {
     let open = true;
     const end = (served: ServeResult | undefined): void => {
       if (open) {
@@ -124,8 +124,8 @@
 
   /** A rival that bids again is granted again, and knows that it has run. */
   private _rivalRunsOnce(key: string): void {
-    if (!this._rivalRan.has(key)) {
-      this._rivalRan.add(key);
+    if (!this._rivalRuns.has(key)) {
+      this._rivalRuns.add(key);
       this._world.log.rivalRuns(key);
     }
   }
--- a/tests/matrix/matrixWorld.ts
+++ b/tests/matrix/matrixWorld.ts
@@ -34,7 +34,7 @@
 
 const kHopMs = 1;
 const kWorkMs = 5;
-const kLostMs = 20;
+const kLostReplyMs = 20;
 const kLateMs = 300;
 /** Longer than every deadline of the scenarios. */
 const kPauseMs = 10_000;
@@ -56,7 +56,7 @@
   readonly journal = new Journal();
   readonly steps: Step[] = [];
   /** Injections that found a step of theirs. */
-  readonly struck: Injection[] = [];
+  readonly injected: Injection[] = [];
   readonly log = new MatrixLog(this.journal, this.time);
   private readonly _peers = new MatrixPeers(this);
   readonly daemons = new Map<string, MatrixDaemon>();
@@ -105,7 +105,7 @@
       entry.served = served;
       then(served);
     };
-    if (daemon.dead) {
+    if (daemon.crashed) {
       finish(undefined);
       return;
     }
@@ -116,7 +116,7 @@
   /** Runs a procedure that belongs to a daemon. */
   run<T>(daemon: MatrixDaemon, procedure: Procedure<T>, ended: (value: T) => void, session?: Session): void {
     const resume: Resume = (reply) => {
-      if (daemon.dead) {
+      if (daemon.crashed) {
         return;
       }
       if (this.time.now < daemon.pausedUntil) {
@@ -126,11 +126,11 @@
         return;
       }
       const step = procedure.next(reply);
-      this.journal.holds(daemon.name, daemon.fold.version);
+      this.journal.recordVersion(daemon.name, daemon.fold.version);
       if (step.done === true) {
         ended(step.value);
       } else {
-        this._take(daemon, step.value, session, resume);
+        this._takeStep(daemon, step.value, session, resume);
       }
     };
     resume(undefined);
@@ -138,21 +138,21 @@
 
   /** Starts a daemon anew after its death; its memory is gone. */
   restart(id: string): MatrixDaemon {
-    const before = this.daemon(id);
-    before.die();
-    return this._addDaemon(id, before.plan.service, before.incarnation + 1);
+    const previous = this.daemon(id);
+    previous.crash();
+    return this._addDaemon(id, previous.options.service, previous.incarnation + 1);
   }
 
   /** Lets everything end, and reads every living daemon's configuration to the log's end. */
   settle(until: number): Map<string, ConfigFold> {
     this.time.runUntil(until);
-    const living = [...this.daemons.values()].filter((daemon) => !daemon.dead);
-    for (const daemon of living) {
+    const live = [...this.daemons.values()].filter((daemon) => !daemon.crashed);
+    for (const daemon of live) {
       this.log.foldConfig(daemon);
-      this.journal.holds(daemon.name, daemon.fold.version);
+      this.journal.recordVersion(daemon.name, daemon.fold.version);
     }
     this.time.restore();
-    return new Map(living.map((daemon) => [daemon.plan.id, daemon.fold]));
+    return new Map(live.map((daemon) => [daemon.options.id, daemon.fold]));
   }
 
   private _addDaemon(id: string, service: string, incarnation: number): MatrixDaemon {
@@ -168,7 +168,7 @@
         slots: 1,
       }));
     const relay = this._relay === id ? undefined : this._relay;
-    const plan = {
+    const options = {
       id,
       service,
       candidates,
@@ -177,7 +177,7 @@
       relay,
       rootOf: (id: string) => this._roots.get(id) ?? id,
     };
-    const daemon = new MatrixDaemon(plan, incarnation);
+    const daemon = new MatrixDaemon(options, incarnation);
     this.daemons.set(id, daemon);
     return daemon;
   }
@@ -186,14 +186,14 @@
     const lost = (): void => {
       finish(undefined);
     };
-    daemon.onDeath.add(lost);
+    daemon.onCrash.add(lost);
     this._roots.set(call.id, call.chain.root);
     daemon.inFlight++;
     this.run(
       daemon,
-      serveCall(call, daemon.serve),
+      serveCall(call, daemon.serveContext),
       (served) => {
-        daemon.onDeath.delete(lost);
+        daemon.onCrash.delete(lost);
         daemon.inFlight--;
         finish(served);
       },
@@ -210,8 +210,8 @@
         importance: req.importance ?? 2,
         cohort: 0,
         depth: 0,
-        rootDaemon: daemon.plan.id,
-        rootAddress: daemon.plan.id,
+        rootDaemon: daemon.options.id,
+        rootAddress: daemon.options.id,
         rootIncarnation: daemon.incarnation,
         repeatable: false,
         path: '',
@@ -231,23 +231,23 @@
   }
 
   /** Takes a step: performs the effect, with the fault that strikes there, if any. */
-  private _take(daemon: MatrixDaemon, effect: Effect, session: Session | undefined, resume: Resume): void {
+  private _takeStep(daemon: MatrixDaemon, effect: Effect, session: Session | undefined, resume: Resume): void {
     const number = this.steps.length;
-    this.steps.push({ effect: effect.type, daemon: daemon.plan.id });
+    this.steps.push({ effect: effect.type, daemon: daemon.options.id });
     const injection = this._injections.find(({ step, fault }) => step === number && kFaults[effect.type].includes(fault));
     if (!injection) {
       this._perform(daemon, effect, session, resume, undefined);
       return;
     }
-    this.struck.push(injection);
+    this.injected.push(injection);
     switch (injection.fault) {
       case 'crash_before':
-        daemon.die();
+        daemon.crash();
         return;
       case 'crash_after':
         this._perform(daemon, effect, session, () => undefined, undefined);
         this.time.after(kHopMs / 2, () => {
-          daemon.die();
+          daemon.crash();
         });
         return;
       case 'pause':
@@ -298,10 +298,10 @@
         this._peers.fetchAnswer(effect, reply, fault);
         return;
       case 'joinRunning':
-        this._peers.join(daemon, effect, resume, fault);
+        this._peers.joinRunning(daemon, effect, resume, fault);
         return;
       case 'awaitAdmission':
-        daemon.waiting.set(effect.attempt, resume);
+        daemon.queuedCalls.set(effect.attempt, resume);
         return;
       case 'forward':
         this._forward(daemon, effect, resume, fault);
@@ -323,10 +323,10 @@
         this.log.append(kSnapshotStream, daemon.fold.snapshot(digest), reply, fault);
         return;
       case 'queryPeers':
-        this._askPeers(daemon, reply, fault);
+        this._queryPeers(daemon, reply, fault);
         return;
       case 'appendMember':
-        this.log.append('members', { id: daemon.plan.id, goodbye: effect.goodbye }, reply, fault);
+        this.log.append('members', { id: daemon.options.id, goodbye: effect.goodbye }, reply, fault);
         return;
       case 'notifyPeers':
         reply(undefined);
@@ -354,21 +354,21 @@
       });
     };
     const target = this.daemon(to.daemon);
-    if (fault === 'refused' || target.dead) {
+    if (fault === 'refused' || target.crashed) {
       end({ kind: 'lost', written: false });
       return;
     }
     if (fault === 'lost_before') {
-      end({ kind: 'lost', written: kAdapter.lostMayHaveRun }, kLostMs);
+      end({ kind: 'lost', written: kAdapter.lostMayHaveRun }, kLostReplyMs);
       return;
     }
     const lost = (): void => {
       end({ kind: 'lost', written: kAdapter.lostMayHaveRun });
     };
     const arrive = (report: (value: OfferResult) => void): void => {
-      target.onDeath.add(lost);
+      target.onCrash.add(lost);
       this.run(target, gateCall(terms, effect.payload, this._gateContext(target, terms)), (value) => {
-        target.onDeath.delete(lost);
+        target.onCrash.delete(lost);
         report(value);
       });
     };
@@ -379,7 +379,7 @@
       }
       if (fault === 'peer_crash') {
         this.time.after(kHopMs, () => {
-          target.die();
+          target.crash();
         });
       }
     });
@@ -389,7 +389,7 @@
   private _gateContext(target: MatrixDaemon, terms: OfferTerms): MatrixDaemon['gateContext'] {
     const note = (reason: string): void => {
       if (reason === 'overloaded') {
-        this.journal.shed.push({ host: target.plan.id, rank: rankOf(terms), at: this.time.now, order: this.journal.next() });
+        this.journal.shed.push({ host: target.options.id, rank: rankOf(terms), at: this.time.now, order: this.journal.nextOrder() });
       }
     };
     return {
@@ -415,8 +415,8 @@
 
   private _cancel(effect: EffectOf<'cancel'>, reply: (value: Reply, ms?: number) => void, fault: Fault | undefined): void {
     const target = this.daemon(effect.to.daemon);
-    if (fault === 'lost_before' || target.dead) {
-      reply({ kind: 'unknown' }, kLostMs);
+    if (fault === 'lost_before' || target.crashed) {
+      reply({ kind: 'unknown' }, kLostReplyMs);
       return;
     }
     const waiting = target.gate.cancel(effect.attempt);
@@ -429,8 +429,8 @@
     reply({ kind: fault === 'lost_after' ? 'unknown' : kind });
   }
 
-  private _askPeers(daemon: MatrixDaemon, reply: (value: Reply) => void, fault: Fault | undefined): void {
-    const others = fault === 'lost_before' ? [] : [...this.daemons.values()].filter((other) => other !== daemon && !other.dead);
+  private _queryPeers(daemon: MatrixDaemon, reply: (value: Reply) => void, fault: Fault | undefined): void {
+    const others = fault === 'lost_before' ? [] : [...this.daemons.values()].filter((other) => other !== daemon && !other.crashed);
     const offered = fault === 'stale' ? this.log.stream(kSnapshotStream).slice(0, 1) : others.map(({ fold }) => fold.snapshot(digest));
     offered.forEach((snapshot) => daemon.fold.adopt(snapshot, digest));
     reply({ answered: others.length });
@@ -505,9 +505,9 @@
 
   private _startRun(daemon: MatrixDaemon, terms: OfferTerms, body: Uint8Array): void {
     const req = this._requests.get(terms.request);
-    const meaning = req?.key ?? `${terms.root}/${terms.depth}/${Buffer.from(body).toString()}`;
-    const run = { host: daemon.plan.id, request: terms.request, root: terms.root, meaning, idempotent: terms.idempotent };
-    this.journal.ran({ ...run, rank: rankOf(terms), at: this.time.now, cut: false });
+    const onceKey = req?.key ?? `${terms.root}/${terms.depth}/${Buffer.from(body).toString()}`;
+    const run = { host: daemon.options.id, request: terms.request, root: terms.root, onceKey, idempotent: terms.idempotent };
+    this.journal.recordRun({ ...run, rank: rankOf(terms), at: this.time.now, cut: false });
   }
 
   /** The target works, and makes its onward calls through its own daemon. */
@@ -517,8 +517,8 @@
     let open = onward.length;
     let ok = req?.fails !== true;
     this.time.after(kWorkMs, () => {
-      if (open === 0 || daemon.dead) {
-        done(ok && !daemon.dead);
+      if (open === 0 || daemon.crashed) {
+        done(ok && !daemon.crashed);
         return;
       }
       for (const next of onward) {
--- a/tests/matrix/runMatrix.ts
+++ b/tests/matrix/runMatrix.ts
@@ -15,17 +15,17 @@
   pairs: number;
   violations: string[];
   /** Cells by effect and fault, `effect/fault`. */
-  byFault: Map<string, number>;
+  cellsByFault: Map<string, number>;
   /** Steps of the plain run that no fault struck: there must be none. */
-  missed: string[];
+  notInjected: string[];
 }
 
 /** Chooses pairs; all unless the caller samples. */
 export type PairFilter = (index: number) => boolean;
 
 /** Runs the matrix over scenarios. */
-export function runMatrix(scenarios: readonly Scenario[], takePair: PairFilter): MatrixReport {
-  const report: MatrixReport = { cells: 0, pairs: 0, violations: [], byFault: new Map(), missed: [] };
+export function runMatrix(scenarios: readonly Scenario[], includePair: PairFilter): MatrixReport {
+  const report: MatrixReport = { cells: 0, pairs: 0, violations: [], cellsByFault: new Map(), notInjected: [] };
   let pair = 0;
   for (const scenario of scenarios) {
     const plain = play(scenario, []);
@@ -36,7 +36,7 @@
       check(report, scenario, [first], cell);
       count(report, plain, first, cell);
       for (const second of injectionsFrom(cell, first.step + 1)) {
-        if (takePair(pair++)) {
+        if (includePair(pair++)) {
           report.pairs++;
           check(report, scenario, [first, second], play(scenario, [first, second]));
         }
@@ -61,15 +61,15 @@
 
 function count(report: MatrixReport, plain: Cell, { step, fault }: Injection, cell: Cell): void {
   const name = `${plain.world.steps[step]?.effect ?? '?'}/${fault}`;
-  report.byFault.set(name, (report.byFault.get(name) ?? 0) + 1);
-  if (cell.world.struck.length === 0) {
-    report.missed.push(`${name} at step ${step}`);
+  report.cellsByFault.set(name, (report.cellsByFault.get(name) ?? 0) + 1);
+  if (cell.world.injected.length === 0) {
+    report.notInjected.push(`${name} at step ${step}`);
   }
 }
 
 /** Rows of the fault table that no cell filled. */
-export function emptyRows(report: MatrixReport): string[] {
+export function uncoveredFaults(report: MatrixReport): string[] {
   return Object.entries(kFaults).flatMap(([effect, faults]) =>
-    faults.map((fault) => `${effect}/${fault}`).filter((name) => !report.byFault.has(name)),
+    faults.map((fault) => `${effect}/${fault}`).filter((name) => !report.cellsByFault.has(name)),
   );
 }
--- a/tests/matrix/scenarios.ts
+++ b/tests/matrix/scenarios.ts
@@ -22,10 +22,10 @@
 }
 
 const kServices = { alpha: ['a'], beta: ['b', 'c'] };
-const kRepeatMs = 100;
-const kStopMs = 3;
+const kRetryDelayMs = 100;
+const kStopDelayMs = 3;
 /** Shorter than a target's work, so that a competing attempt starts. */
-const kCompeteMs = 3;
+const kCompetingTimeoutMs = 3;
 
 const kBase: NamedClass = {
   name: 'read',
@@ -48,7 +48,7 @@
     return;
   }
   world.send(at, req, () => {
-    world.time.after(kRepeatMs, () => {
+    world.time.after(kRetryDelayMs, () => {
       sendAndRepeat(world, others, req);
     });
   });
@@ -62,7 +62,7 @@
 function submit(world: MatrixWorld, daemon: MatrixDaemon, record: PatchRecord, tries = 3): void {
   world.run(daemon, submitPatch(record, daemon.fold), (end) => {
     if ((end.kind === 'unsettled' || end.kind === 'unavailable') && tries > 1) {
-      world.time.after(kRepeatMs, () => {
+      world.time.after(kRetryDelayMs, () => {
         submit(world, daemon, record, tries - 1);
       });
       return;
@@ -75,11 +75,11 @@
   const close = (): void => {
     daemon.stopping = true;
     daemon.gate.close('stopping');
-    world.journal.closed.set(daemon.plan.id, Math.min(world.journal.closed.get(daemon.plan.id) ?? Infinity, world.time.now));
+    world.journal.closed.set(daemon.options.id, Math.min(world.journal.closed.get(daemon.options.id) ?? Infinity, world.time.now));
   };
   const ctx = { announceLeaving: close, closeGate: close, announceLeft: () => undefined, limitMs: 0 };
   world.run(daemon, plannedStop(ctx), ({ cut }) => {
-    world.journal.stops.push({ host: daemon.plan.id, cut });
+    world.journal.stops.push({ host: daemon.options.id, cut });
   });
 }
 
@@ -101,7 +101,7 @@
     name: 'read with a competing attempt',
     services: kServices,
     play: (world) => {
-      sendAndRepeat(world, ['a'], { ...kRead, cls: { ...kBase, attemptTimeoutMs: kCompeteMs } });
+      sendAndRepeat(world, ['a'], { ...kRead, cls: { ...kBase, attemptTimeoutMs: kCompetingTimeoutMs } });
     },
   },
   {
@@ -192,7 +192,7 @@
       for (let i = 0; i < 3; i++) {
         world.send('a', { ...kRead, body: `read-${i}` });
       }
-      world.time.after(kStopMs, () => {
+      world.time.after(kStopDelayMs, () => {
         stop(world, world.daemon('b'));
       });
     },
--- a/tests/retries/timers.spec.ts
+++ b/tests/retries/timers.spec.ts
@@ -24,7 +24,7 @@
     } as const;
     const req = { cls: { ...cls, methods: [] }, body: 'x' };
     const call = onwardCall('q', req, { ...terms, rootDaemon: 'b', rootAddress: 'b', rootIncarnation: 1 } as never, 0);
-    const procedure = runAttempts(call, world.daemon('b').serve, 0);
+    const procedure = runAttempts(call, world.daemon('b').serveContext, 0);
     procedure.next(undefined);
     procedure.next(undefined);
     world.time.runUntil(99);
