--- a/tests/matrix/brokenVariants.ts
+++ b/tests/matrix/brokenVariants.ts
@@ -3,20 +3,20 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Deliberately broken variants of the core, each without one mechanism: the matrix must catch every one. */
+/** Variants of the core that each lack one mechanism. The matrix must detect every one. */
 
 import { ClaimIndex, ConfigFold, Gate, RetryLedger, RetryRatio } from '@gentiandrum/core';
 import { kAdapter } from './matrixWorld.js';
 
-/** A broken variant: what it leaves out, and the promise that must be seen broken. */
+/** A broken variant and the guarantee that it must violate. */
 export interface BrokenVariant {
   name: string;
   guarantee: string;
-  /** Breaks the mechanism; returns how to mend it. */
+  /** Disables the mechanism; returns a function that restores it. */
   install: () => () => void;
 }
 
-/** Replaces a method of a class for a while. */
+/** Replaces a method of a prototype; returns a function that restores it. */
 function replace<T extends object, K extends keyof T>(proto: T, method: K, broken: T[K]): () => void {
   const original = proto[method];
   proto[method] = broken;
@@ -25,7 +25,6 @@
   };
 }
 
-/** The variants. */
 export const kBrokenVariants: BrokenVariant[] = [
   {
     name: 'a retry allowance that is copied to each call',
@@ -56,7 +55,7 @@
       }),
   },
   {
-    name: 'a snapshot that is adopted without a look at its version',
+    name: 'a snapshot that is adopted without a version check',
     guarantee: '8 configuration',
     install: () =>
       replace(ConfigFold.prototype, 'adopt', function adopt(this: ConfigFold, value: unknown) {
@@ -66,12 +65,12 @@
       }),
   },
   {
-    name: 'a gate that forgets that it is closed',
-    guarantee: '6 leaving takes nothing',
+    name: 'a gate that stays open after close',
+    guarantee: '6 closed gate starts nothing',
     install: () => replace(Gate.prototype, 'close', () => undefined),
   },
   {
-    name: 'an adapter that calls a lost reply not sent',
+    name: 'an adapter that reports a lost reply as not sent',
     guarantee: '4 not run',
     install: () => {
       kAdapter.lostMayHaveRun = false;
--- a/tests/matrix/checkers.ts
+++ b/tests/matrix/checkers.ts
@@ -3,20 +3,20 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The eight promises of the brief, checked after each cell. */
+/** Checkers of the eight guarantees, run after each cell. */
 
 import { bodyText } from './matrixDaemon.js';
 import type { Journal } from './journal.js';
 import type { ConfigFold } from '@gentiandrum/core';
 
-/** State at the end of a cell, once nothing moves any more. */
+/** State at the end of a cell, after all events. */
 export interface FinalState {
   journal: Journal;
-  /** Configuration as each living daemon holds it, all having read the log to its end. */
+  /** Configuration of each live daemon after it has read the log to its end. */
   folds: Map<string, ConfigFold>;
 }
 
-/** Violations of the promises, in words; none when all hold. */
+/** Descriptions of all violated guarantees. */
 export function violations({ journal, folds }: FinalState): string[] {
   return [
     ...retriesBounded(journal),
@@ -47,7 +47,7 @@
 function completeResponses({ tries }: Journal): string[] {
   return tries.flatMap(({ request, served, body }) =>
     served?.kind === 'answer' && served.answer.status === 200 && bodyText(served.answer) !== `answer to ${body}`
-      ? [`3 whole answers: ${request} with body ${body} got "${bodyText(served.answer)}"`]
+      ? [`3 complete responses: ${request} with body ${body} got "${bodyText(served.answer)}"`]
       : [],
   );
 }
@@ -66,7 +66,7 @@
   });
 }
 
-/** Whether `other` is the same or an earlier try than `request`. */
+/** Whether `other` is the same try as `request` or an earlier one. */
 function isSameOrEarlier(tries: Journal['tries'], request: string, other: string): boolean {
   const index = (id: string): number => tries.findIndex((attempt) => attempt.request === id);
   return index(other) >= 0 && index(other) <= index(request);
@@ -83,7 +83,7 @@
 function closedGateStartsNothing({ runs, closed }: Journal): string[] {
   return runs
     .filter(({ host, at }) => at > (closed.get(host) ?? Infinity))
-    .map(({ host, request }) => `6 leaving takes nothing: ${host} started ${request} after it closed`);
+    .map(({ host, request }) => `6 closed gate starts nothing: ${host} started ${request} after it closed`);
 }
 
 function plannedStopsInterruptNothing({ stops, runs }: Journal): string[] {
--- a/tests/matrix/faults.ts
+++ b/tests/matrix/faults.ts
@@ -3,47 +3,47 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The faults that each kind of effect admits. A kind without a row here does not compile; a step without a cell fails the run. */
+/** Faults by effect. An effect without a row does not compile; a step without a cell fails the run. */
 
 import type { EffectName } from '@gentiandrum/core';
 
 /** A fault of one step. */
 export type Fault =
-  /** The effect was refused, or never arrived: nothing took effect. */
+  /** The effect was refused or never arrived, so nothing took effect. */
   | 'refused'
   | 'lost_before'
   /** It took effect, and its reply was lost. */
   | 'lost_after'
   /** It took effect twice. */
   | 'duplicate'
-  /** Its reply came late, behind what followed. */
+  /** Its reply arrived late, after subsequent events. */
   | 'late'
-  /** Another claimant or operator got in just before. */
+  /** Another claimant or operator acted first. */
   | 'rival'
-  /** What it reads is older than what is known. */
+  /** It read data older than the known state. */
   | 'stale'
-  /** The daemon that performs it was paused past every deadline. */
+  /** The performing daemon was paused beyond every deadline. */
   | 'pause'
-  /** The daemon that performs it died before the effect, or after it. */
+  /** The performing daemon crashed before or after the effect. */
   | 'crash_before'
   | 'crash_after'
-  /** The daemon at the other end died after the effect arrived. */
+  /** The remote daemon crashed after the effect arrived. */
   | 'peer_crash'
-  /** The target failed, shed, or cut its answer. */
+  /** The target failed, shed the call, or truncated its response. */
   | 'target_fails'
   | 'target_sheds'
   | 'truncated'
-  /** The caller hung up. */
+  /** The caller disconnected. */
   | 'caller_gone'
-  /** Nothing came in time. */
+  /** Nothing arrived in time. */
   | 'timeout';
 
-/** Faults of a daemon itself; they can strike at any step. */
+/** Faults of a daemon itself; possible at any step. */
 const kDaemonFaults: readonly Fault[] = ['pause', 'crash_before', 'crash_after'];
 const kRequestFaults: readonly Fault[] = [...kDaemonFaults, 'lost_before', 'lost_after', 'late'];
 const kAppendFaults: readonly Fault[] = [...kRequestFaults, 'refused', 'duplicate', 'rival'];
 
-/** Effect → faults. */
+/** Possible faults of each effect. */
 export const kFaults: Record<EffectName, readonly Fault[]> = {
   offer: [...kRequestFaults, 'refused', 'duplicate', 'peer_crash'],
   awaitEvent: [...kDaemonFaults, 'caller_gone', 'timeout'],
@@ -68,7 +68,7 @@
   awaitSenders: [...kDaemonFaults, 'timeout'],
 };
 
-/** A fault at a step of a scenario. */
+/** A fault to inject at a step of a scenario. */
 export interface Injection {
   step: number;
   fault: Fault;
--- a/tests/matrix/journal.ts
+++ b/tests/matrix/journal.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What happened in one cell, as the checkers need it. */
+/** Record of the events of one cell, for the checkers. */
 
 import type { ServeResult } from '@gentiandrum/core';
 
@@ -16,18 +16,18 @@
   idempotent: boolean;
   rank: number;
   allowance: number;
-  /** How it ended; undefined when the daemon died, or the caller hung up. */
+  /** Result; undefined when the daemon crashed or the caller disconnected. */
   served: ServeResult | undefined;
 }
 
 /** A run of a call at a target. */
 export interface TargetRun {
   host: string;
-  /** Request of the daemon where this call came in. */
+  /** Request id at the daemon that received the call. */
   request: string;
   /** Root request of its chain. */
   root: string;
-  /** What must run once: caller's key, or the meaning of an onward call. */
+  /** Identifies what must run once: the caller's key, or the position and body of an onward call. */
   onceKey: string;
   idempotent: boolean;
   rank: number;
@@ -39,38 +39,36 @@
 export class Journal {
   readonly tries: Try[] = [];
   readonly runs: TargetRun[] = [];
-  /** Retries by root request. */
+  /** Number of retries by root request. */
   readonly retries = new Map<string, number>();
-  /** Times at which a host's gate was closed for good. */
+  /** Time at which each host's gate closed permanently. */
   readonly closed = new Map<string, number>();
-  /** Hosts that ended a planned stop, and what they cut. */
+  /** Hosts that completed a planned stop, and the number of calls they interrupted. */
   readonly stops: { host: string; cut: number }[] = [];
-  /** Refusals for overload at a gate. */
+  /** Calls that a gate refused because of overload. */
   readonly shed: { host: string; rank: number; at: number; order: number }[] = [];
   readonly started: { host: string; rank: number; at: number; order: number }[] = [];
-  /** Versions held by each daemon, in the order it held them. */
+  /** Configuration versions of each daemon, in order. */
   readonly versions = new Map<string, number[]>();
-  /** What submitters were told. */
+  /** Results that submitters received. */
   readonly submitted: { patchId: string; kind: string; version?: number }[] = [];
   private _order = 0;
 
-  /** Next number in the order of what happened. */
+  /** Returns the next sequence number of events. */
   nextOrder(): number {
     return this._order++;
   }
 
-  /** Notes a run at a target. */
   recordRun(run: TargetRun): void {
     this.runs.push(run);
     this.started.push({ host: run.host, rank: run.rank, at: run.at, order: this.nextOrder() });
   }
 
-  /** Notes a retry. */
   recordRetry(root: string): void {
     this.retries.set(root, (this.retries.get(root) ?? 0) + 1);
   }
 
-  /** Notes the version that a daemon holds. */
+  /** Records the current configuration version of a daemon. */
   recordVersion(daemon: string, version: number): void {
     const heldVersions = this.versions.get(daemon) ?? [];
     heldVersions.push(version);
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** One daemon of the matrix: the core's real objects, and nothing else. */
+/** One daemon of the matrix, made of the core's real objects. */
 
 import {
   type AdmissionResult,
@@ -31,16 +31,16 @@
 const kAnswerBytes = 1_000_000;
 const kClaims = 1_000;
 
-/** What the world gives a daemon. */
+/** Options of a daemon of the matrix. */
 export interface DaemonOptions {
   id: string;
   service: string;
   candidates: (service: string) => Candidate[];
   journal: Journal;
   newId: () => string;
-  /** Root request of a call. */
+  /** Returns the root request of a call. */
   rootOf: (call: string) => string;
-  /** Address of the daemon that batches claims, if another does. */
+  /** Address of the daemon that batches claims; undefined when that is this daemon. */
   relay?: string;
 }
 
@@ -96,7 +96,7 @@
     return `${this.options.id}/${this.incarnation}`;
   }
 
-  /** Dies: all that runs is lost, and so is its memory. */
+  /** Crashes the daemon: its running calls and its memory are lost. */
   crash(): void {
     this.crashed = true;
     for (const notify of this.onCrash) {
@@ -105,7 +105,7 @@
     this.onCrash.clear();
   }
 
-  /** Tells a call that waits at the gate what became of it. */
+  /** Resumes a queued call with the gate's decision. */
   admit(attempt: string, end: AdmissionResult): void {
     this._admit(attempt, end);
   }
@@ -143,7 +143,7 @@
   }
 }
 
-/** Text of an answer's body. */
+/** Body of a response as text. */
 export function bodyText(answer: TargetResponse): string {
   return Buffer.from(answer.body).toString();
 }
--- a/tests/matrix/matrixLog.ts
+++ b/tests/matrix/matrixLog.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The platform's log in the matrix: streams in memory, with the faults that strike at its effects. */
+/** In-memory model of the platform's log, with injected faults. */
 
 import type { Reply } from '@gentiandrum/core';
 import { claimStream, type ClaimRecord, kConfigStream, kSnapshotStream, type PatchRecord } from '@gentiandrum/protocol';
@@ -25,7 +25,7 @@
     private readonly _time: VirtualTime,
   ) {}
 
-  /** Appends a record; the fault decides what becomes of it. */
+  /** Appends a record, subject to the fault. */
   append(stream: string, value: unknown, reply: (value: Reply, ms?: number) => void, fault: Fault | undefined, rival?: () => void): void {
     if (fault === 'refused') {
       reply({ kind: 'refused' });
@@ -56,14 +56,14 @@
     reply({ kind: 'read' });
   }
 
-  /** Folds the configuration stream to its end. */
+  /** Folds the configuration stream into a daemon's configuration. */
   foldConfig(daemon: MatrixDaemon): void {
     this.stream(kConfigStream).forEach((value, offset) => {
       daemon.fold.apply(offset, value);
     });
   }
 
-  /** Lets a daemon read the snapshots. */
+  /** Reads the snapshots into a daemon's configuration. */
   readSnapshots(daemon: MatrixDaemon, reply: (value: Reply) => void, fault: Fault | undefined): void {
     if (fault === 'refused') {
       reply({ kind: 'unavailable' });
@@ -75,7 +75,7 @@
     reply({ kind: 'read' });
   }
 
-  /** Another daemon claims the same key just before, and runs its call. */
+  /** Claims the key for a rival daemon first, and runs the rival's call. */
   rivalClaims(record: ClaimRecord): void {
     const holder = this.stream(kClaimStream).some((batch) => (batch as ClaimRecord[]).some(({ key }) => key === record.key));
     if (record.released !== true && !holder) {
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Notes that a rival runs the call of a key. */
+  /** Records that a rival runs the call of a key. */
   rivalRuns(key: string): void {
     this._journal.recordRun({
       host: 'rival',
@@ -98,12 +98,12 @@
     });
   }
 
-  /** Another operator's patch against the same version comes in just before. */
+  /** Appends another operator's patch against the same version first. */
   rivalPatch(record: PatchRecord): void {
     this.stream(kConfigStream).push({ ...record, patchId: `rival-of-${record.patchId}`, author: 'rival', patch: { retryRatio: 0.5 } });
   }
 
-  /** Records of a stream of the log. */
+  /** Returns the records of a stream. */
   stream(name: string): unknown[] {
     const records = this.streams.get(name) ?? [];
     this.streams.set(name, records);
@@ -111,7 +111,7 @@
   }
 }
 
-/** A digest that tells texts apart; that is all the fold asks of it. */
+/** Collision-free digest for the fold. */
 export function digest(text: string): string {
   return `${text.length}:${text}`;
 }
--- a/tests/matrix/matrixPeers.ts
+++ b/tests/matrix/matrixPeers.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What daemons of the matrix ask each other about keys. */
+/** Requests about keys between daemons of the matrix. */
 
 import { type Effect, lookUpAnswer, releaseClaim, type Reply, type ServeResult } from '@gentiandrum/core';
 import type { Fault } from './faults.js';
@@ -18,13 +18,13 @@
 type EffectOf<K extends Effect['type']> = Extract<Effect, { type: K }>;
 type ReplyLater = (value: Reply, ms?: number) => void;
 
-/** Questions between daemons. */
+/** Answers requests about keys, with injected faults. */
 export class MatrixPeers {
   private readonly _rivalRuns = new Set<string>();
 
   constructor(private readonly _world: MatrixWorld) {}
 
-  /** A daemon appends a claim for another. */
+  /** Appends a claim at the relay daemon and reads back the holder. */
   relayClaim(effect: EffectOf<'relayClaim'>, reply: ReplyLater, fault: Fault | undefined): void {
     const relay = this._world.daemon(effect.to);
     if (fault === 'refused') {
@@ -51,7 +51,7 @@
     reply(answered ? { kind: 'holder', holder } : { kind: 'unreachable' });
   }
 
-  /** A daemon settles a key of its own. */
+  /** Settles a key at the daemon that is responsible for it. */
   settleKey(effect: EffectOf<'settleKey'>, reply: ReplyLater, fault: Fault | undefined): void {
     const settler = this._world.daemon(effect.to);
     if (fault === 'lost_before' || settler.crashed) {
@@ -71,7 +71,7 @@
     reply(fault === 'lost_after' || fault === 'peer_crash' ? { kind: 'unreachable' } : verdict);
   }
 
-  /** A claimant tells the answer of a key. */
+  /** Returns the result of a key from its claimant; waits while the call runs. */
   fetchAnswer(effect: EffectOf<'fetchAnswer'>, reply: ReplyLater, fault: Fault | undefined): void {
     const { address, key, body, claimant } = effect;
     if (fault === 'lost_before' || fault === 'lost_after') {
@@ -105,7 +105,7 @@
     reply(found);
   }
 
-  /** Waits for the running call of a key. */
+  /** Waits for the running call of a key, up to the timeout. */
   joinRunning(daemon: MatrixDaemon, effect: EffectOf<'joinRunning'>, resume: Resume, fault: Fault | undefined): void {
     let open = true;
     const end = (served: ServeResult | undefined): void => {
@@ -122,7 +122,7 @@
     });
   }
 
-  /** A rival that bids again is granted again, and knows that it has run. */
+  /** Records the rival's run once, because a repeated bid of the rival is granted again. */
   private _rivalRunsOnce(key: string): void {
     if (!this._rivalRuns.has(key)) {
       this._rivalRuns.add(key);
--- a/tests/matrix/matrixWorld.ts
+++ b/tests/matrix/matrixWorld.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * A small deployment on virtual time whose every effect is a numbered step. At given steps faults strike; what happens is
- * written to a journal.
+ * A small deployment on virtual time. Every effect is a numbered step; faults are injected at given steps, and events are recorded in a
+ * journal.
  */
 
 import {
@@ -36,26 +36,26 @@
 const kWorkMs = 5;
 const kLostReplyMs = 20;
 const kLateMs = 300;
-/** Longer than every deadline of the scenarios. */
+/** Longer than every deadline in the scenarios. */
 const kPauseMs = 10_000;
 
-/** What the adapters below the core are trusted to tell; a broken variant lies. */
+/** Whether the adapter reports that a lost call may have run. A broken variant sets it to false. */
 export const kAdapter = { lostMayHaveRun: true };
 
 type EffectOf<K extends Effect['type']> = Extract<Effect, { type: K }>;
 
-/** A step as it was taken. */
+/** A performed step. */
 export interface Step {
   effect: Effect['type'];
   daemon: string;
 }
 
-/** The deployment. */
+/** Runs procedures of daemons and performs their effects. */
 export class MatrixWorld {
   readonly time = new VirtualTime();
   readonly journal = new Journal();
   readonly steps: Step[] = [];
-  /** Injections that found a step of theirs. */
+  /** Injections that were applied. */
   readonly injected: Injection[] = [];
   readonly log = new MatrixLog(this.journal, this.time);
   private readonly _peers = new MatrixPeers(this);
@@ -76,7 +76,7 @@
     }
   }
 
-  /** The living daemon of this name. */
+  /** Returns the current daemon with this id. */
   daemon(id: string): MatrixDaemon {
     const daemon = this.daemons.get(id);
     if (!daemon) {
@@ -85,7 +85,7 @@
     return daemon;
   }
 
-  /** Sends a request; `then` hears how it ended, with undefined when its daemon died. */
+  /** Sends a request; `then` receives its result, or undefined when its daemon crashed. */
   send(at: string, req: Request, then: (served: ServeResult | undefined) => void = () => undefined): void {
     const daemon = this.daemon(at);
     const id = `q${this._ids++}`;
@@ -113,7 +113,7 @@
     this._serve(daemon, call, undefined, finish);
   }
 
-  /** Runs a procedure that belongs to a daemon. */
+  /** Runs a procedure on a daemon. */
   run<T>(daemon: MatrixDaemon, procedure: Procedure<T>, ended: (value: T) => void, session?: Session): void {
     const resume: Resume = (reply) => {
       if (daemon.crashed) {
@@ -136,14 +136,14 @@
     resume(undefined);
   }
 
-  /** Starts a daemon anew after its death; its memory is gone. */
+  /** Restarts a daemon with a new incarnation and empty memory. */
   restart(id: string): MatrixDaemon {
     const previous = this.daemon(id);
     previous.crash();
     return this._addDaemon(id, previous.options.service, previous.incarnation + 1);
   }
 
-  /** Lets everything end, and reads every living daemon's configuration to the log's end. */
+  /** Runs until the given time, then folds the whole configuration stream into every live daemon. */
   settle(until: number): Map<string, ConfigFold> {
     this.time.runUntil(until);
     const live = [...this.daemons.values()].filter((daemon) => !daemon.crashed);
@@ -230,7 +230,7 @@
     return minted ? { kind: 'minted', key, owner: minted.owner, address: minted.owner, incarnation: 1 } : { kind: 'own', key };
   }
 
-  /** Takes a step: performs the effect, with the fault that strikes there, if any. */
+  /** Performs the effect of a step, with the fault injected at this step, if any. */
   private _takeStep(daemon: MatrixDaemon, effect: Effect, session: Session | undefined, resume: Resume): void {
     const number = this.steps.length;
     this.steps.push({ effect: effect.type, daemon: daemon.options.id });
@@ -338,7 +338,7 @@
         this._awaitIdle(daemon, effect, resume, fault);
         return;
       case 'awaitSenders':
-        // Senders are told of a leave at once here.
+        // Senders learn of a leave at once in this model.
         this.time.after(fault === 'timeout' ? effect.until - this.time.now : 0, () => {
           resume({ senders: fault === 'timeout' ? 1 : 0 });
         });
@@ -385,7 +385,7 @@
     });
   }
 
-  /** The gate's context, noting in the journal what the gate refuses for overload. */
+  /** Gate context that records refusals for overload in the journal. */
   private _gateContext(target: MatrixDaemon, terms: OfferTerms): MatrixDaemon['gateContext'] {
     const note = (reason: string): void => {
       if (reason === 'overloaded') {
@@ -510,7 +510,7 @@
     this.journal.recordRun({ ...run, rank: rankOf(terms), at: this.time.now, cut: false });
   }
 
-  /** The target works, and makes its onward calls through its own daemon. */
+  /** Simulates the target's work and its onward calls through the local daemon. */
   private _work(daemon: MatrixDaemon, terms: OfferTerms, done: (ok: boolean) => void): void {
     const req = this._requests.get(terms.request);
     const onward = req?.onward ?? [];
--- a/tests/matrix/request.ts
+++ b/tests/matrix/request.ts
@@ -3,25 +3,25 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Requests that the scenarios send. */
+/** Requests of the scenarios. */
 
 import type { Call, NamedClass } from '@gentiandrum/core';
 import type { OfferTerms } from '@gentiandrum/protocol';
 
-/** A request of the matrix: what it is, and what its target calls onward. */
+/** A request and the onward calls of its target. */
 export interface Request {
   cls: NamedClass;
   body: string;
   key?: string | undefined;
   minted?: { owner: string; namespace: string };
   importance?: number;
-  /** The onward calls of its target, made at once. */
+  /** Onward calls of its target, made concurrently. */
   onward?: Request[];
   /** Its targets always fail. */
   fails?: boolean;
 }
 
-/** The onward call that a target makes for a call it serves. */
+/** Creates the onward call that a target makes for a call it serves. */
 export function onwardCall(id: string, req: Request, terms: OfferTerms, now: number): Call {
   const { root, rootDaemon, rootAddress, rootIncarnation, repeatable, importance, cohort } = terms;
   const depth = terms.depth + 1;
--- a/tests/matrix/runMatrix.ts
+++ b/tests/matrix/runMatrix.ts
@@ -3,27 +3,27 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Enumerates the cells: every fault at every step, alone, and in pairs. */
+/** Runs every fault at every step, alone and in pairs. */
 
 import { violations } from './checkers.js';
 import { type Fault, type Injection, kFaults } from './faults.js';
 import { type Cell, play, type Scenario } from './scenarios.js';
 
-/** What the matrix found. */
+/** Result of a run of the matrix. */
 export interface MatrixReport {
   cells: number;
   pairs: number;
   violations: string[];
-  /** Cells by effect and fault, `effect/fault`. */
+  /** Number of cells by `effect/fault`. */
   cellsByFault: Map<string, number>;
-  /** Steps of the plain run that no fault struck: there must be none. */
+  /** Faults that were not injected at their step. Must be empty. */
   notInjected: string[];
 }
 
-/** Chooses pairs; all unless the caller samples. */
+/** Selects the pairs to run by index. */
 export type PairFilter = (index: number) => boolean;
 
-/** Runs the matrix over scenarios. */
+/** Runs the matrix over scenarios: each without faults, with single faults, and with the selected pairs. */
 export function runMatrix(scenarios: readonly Scenario[], includePair: PairFilter): MatrixReport {
   const report: MatrixReport = { cells: 0, pairs: 0, violations: [], cellsByFault: new Map(), notInjected: [] };
   let pair = 0;
@@ -46,7 +46,7 @@
   return report;
 }
 
-/** Every fault that the steps of a cell admit, from a step on. */
+/** All possible injections at the steps of a cell, beginning at a step. */
 function injectionsFrom({ world }: Cell, from: number): Injection[] {
   return world.steps.flatMap(({ effect }, step) => (step < from ? [] : kFaults[effect].map((fault: Fault) => ({ step, fault }))));
 }
@@ -67,7 +67,7 @@
   }
 }
 
-/** Rows of the fault table that no cell filled. */
+/** Entries of the fault table, `effect/fault`, without a cell. */
 export function uncoveredFaults(report: MatrixReport): string[] {
   return Object.entries(kFaults).flatMap(([effect, faults]) =>
     faults.map((fault) => `${effect}/${fault}`).filter((name) => !report.cellsByFault.has(name)),
--- a/tests/matrix/scenarios.ts
+++ b/tests/matrix/scenarios.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What the matrix plays: each procedure of the core at work, alone and together with others. */
+/** Scenarios of the matrix, which run each procedure of the core alone and concurrently with others. */
 
 import { coldStart, type NamedClass, plannedStop, refreshSnapshot, submitPatch } from '@gentiandrum/core';
 import { kConfigStream, type PatchRecord } from '@gentiandrum/protocol';
@@ -13,7 +13,6 @@
 import type { Injection } from './faults.js';
 import type { MatrixDaemon } from './matrixDaemon.js';
 
-/** One scenario. */
 export interface Scenario {
   name: string;
   services: Record<string, string[]>;
@@ -24,7 +23,7 @@
 const kServices = { alpha: ['a'], beta: ['b', 'c'] };
 const kRetryDelayMs = 100;
 const kStopDelayMs = 3;
-/** Shorter than a target's work, so that a competing attempt starts. */
+/** Shorter than the target's processing time, so that a competing attempt starts. */
 const kCompetingTimeoutMs = 3;
 
 const kBase: NamedClass = {
@@ -41,7 +40,7 @@
 const kHold: Request = { cls: kHoldClass, body: 'hold', key: 'key-1' };
 const kRead: Request = { cls: kBase, body: 'read' };
 
-/** Sends a request, and repeats it elsewhere until it is answered, as callers do. */
+/** Sends a request to each of the daemons in turn, with a delay between the tries. */
 function sendAndRepeat(world: MatrixWorld, places: string[], req: Request): void {
   const [at, ...others] = places;
   if (at === undefined) {
@@ -58,7 +57,7 @@
   return { patchId, base, author: patchId, patch: change };
 }
 
-/** Submits a patch, and asks again under the same id while its fate is unknown, as the client does. */
+/** Submits a patch, and retries with the same id while the result is unavailable or unsettled. */
 function submit(world: MatrixWorld, daemon: MatrixDaemon, record: PatchRecord, tries = 3): void {
   world.run(daemon, submitPatch(record, daemon.fold), (end) => {
     if ((end.kind === 'unsettled' || end.kind === 'unavailable') && tries > 1) {
@@ -88,7 +87,6 @@
   world.run(daemon, coldStart(daemon.fold, 3), () => undefined);
 }
 
-/** All scenarios. */
 export const kScenarios: Scenario[] = [
   {
     name: 'read',
@@ -222,7 +220,7 @@
   },
 ];
 
-/** A cell as it went. */
+/** A completed cell. */
 export interface Cell {
   world: MatrixWorld;
   folds: ReturnType<MatrixWorld['settle']>;
@@ -230,7 +228,7 @@
 
 const kSettleMs = 60_000;
 
-/** Plays a scenario with faults. */
+/** Runs a scenario with injected faults. */
 export function play(scenario: Scenario, injections: readonly Injection[]): Cell {
   const world = new MatrixWorld(injections, scenario.services, scenario.relay);
   try {
--- a/tests/matrix/session.ts
+++ b/tests/matrix/session.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The events that one call waits for, on virtual time. */
+/** Event queue of one call on virtual time. */
 
 import type { CallEvent, Reply } from '@gentiandrum/core';
 import type { VirtualTime } from '../support/virtualTime.js';
@@ -11,7 +11,7 @@
 /** Resumes a procedure with a reply. */
 export type Resume = (reply: Reply) => void;
 
-/** Events of one call. */
+/** Queues events of one call until its procedure awaits them. */
 export class Session {
   private readonly _events: CallEvent[] = [];
   private _resume: Resume | undefined;
