--- a/packages/core/src/procedures/lifecycle.ts
+++ b/packages/core/src/procedures/lifecycle.ts
@@ -43,7 +43,7 @@
 
 /** Operations and limits of a planned stop. */
 export interface StopContext {
-  /** Sets the state `leaving` in the local daemon's record and refuses new root requests. */
+  /** Sets the target state `leaving` in the local daemon's record and refuses new root requests. */
   announceLeaving: () => void;
   /** Closes the gate and refuses queued calls. */
   closeGate: () => void;
@@ -53,7 +53,7 @@
   limitMs: number;
 }
 
-/** Time for the `leaving` state to reach the senders, in milliseconds. */
+/** Time for the target state `leaving` to reach the senders, in milliseconds. */
 const kPropagationMs = 300;
 const kIdlePollMs = 1_000;
 /** Maximum wait for senders to report that they have no open offers, in milliseconds. */
