--- a/packages/core/src/claims/lookUpResponse.ts
+++ b/packages/core/src/claims/lookUpResponse.ts
@@ -5,7 +5,7 @@
 
 /** Answers the request of another daemon for the recorded result of a key that this daemon claimed. */
 
-import type { FetchEnd } from '../procedures/effects.js';
+import type { FetchResult } from '../procedures/effects.js';
 import type { ResponseStore } from './responseStore.js';
 
 export interface ResponseQuery {
@@ -16,7 +16,7 @@
 }
 
 /** Looks up a key on the daemon `self`, given as `daemon/incarnation`. Claims of another incarnation are unknown. */
-export function lookUpResponse(responses: ResponseStore, query: ResponseQuery, self: string): FetchEnd {
+export function lookUpResponse(responses: ResponseStore, query: ResponseQuery, self: string): FetchResult {
   const { key, body, claimant } = query;
   if (claimant !== self && !claimant.startsWith(`${self}/`)) {
     return { kind: 'unknown' };
--- a/packages/core/src/claims/responseStore.ts
+++ b/packages/core/src/claims/responseStore.ts
@@ -10,12 +10,12 @@
  * `outcome_unknown` instead of running again.
  */
 
-import type { Served } from '../procedures/served.js';
+import type { ServeResult } from '../procedures/served.js';
 
 /** Local state of a key. `body` is the digest of the request body. */
 export type KeyState =
   | { kind: 'running'; body: string }
-  | { kind: 'answered'; body: string; served: Served }
+  | { kind: 'answered'; body: string; served: ServeResult }
   | { kind: 'forgotten'; body: string }
   /** The call was abandoned before it ran; a repeated call on this daemon may reuse its claim. */
   | { kind: 'abandoned'; body: string; nonce: string }
@@ -27,7 +27,7 @@
 const kMaxForgotten = 20_000;
 const kMaxAbandoned = 10_000;
 
-type Waiter = (served: Served | undefined) => void;
+type Waiter = (served: ServeResult | undefined) => void;
 
 /** Results of keyed calls, by key. */
 export class ResponseStore {
@@ -57,13 +57,13 @@
   }
 
   /** Removes the key of a call that did not run, so that another attempt may be made. */
-  drop(key: string, served?: Served): void {
+  drop(key: string, served?: ServeResult): void {
     this._states.delete(key);
     this._notifyWaiters(key, served);
   }
 
   /** Marks the call as abandoned before it ran, although its claim holds or may still be appended to the log. */
-  abandon(key: string, claim: { body: string; nonce: string }, served: Served): void {
+  abandon(key: string, claim: { body: string; nonce: string }, served: ServeResult): void {
     this._states.set(key, { kind: 'abandoned', ...claim });
     this._abandoned.add(key);
     this._notifyWaiters(key, served);
@@ -82,7 +82,7 @@
   }
 
   /** Records the result of a call. */
-  record(key: string, served: Served): void {
+  record(key: string, served: ServeResult): void {
     const body = this._states.get(key)?.body ?? '';
     this._states.set(key, { kind: 'answered', body, served });
     this._answered.add(key);
@@ -101,7 +101,7 @@
     };
   }
 
-  private _notifyWaiters(key: string, served: Served | undefined): void {
+  private _notifyWaiters(key: string, served: ServeResult | undefined): void {
     const waiters = this._waiters.get(key);
     this._waiters.delete(key);
     for (const waiter of waiters ?? []) {
@@ -143,6 +143,6 @@
   }
 }
 
-function sizeOf(served: Served): number {
+function sizeOf(served: ServeResult): number {
   return kEntryBytes + (served.kind === 'answer' ? served.answer.body.byteLength : 0);
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Decisions of the overload control layer, without input or output. */
+/** Decision logic of the overload control layer, free of input and output. */
 
 export * from './admission/adaptiveLimit.js';
 export * from './admission/admissionLevel.js';
@@ -51,7 +51,7 @@
 export * from './procedures/settleCall.js';
 export * from './procedures/submitPatch.js';
 export * from './procedures/suspectChoice.js';
-export * from './procedures/takenOffers.js';
+export * from './procedures/acceptedOffers.js';
 export * from './quarantine/requestFingerprint.js';
 export * from './quarantine/suspectGate.js';
 export * from './quarantine/suspectQueue.js';
--- a/packages/core/src/procedures/submitPatch.ts
+++ b/packages/core/src/procedures/submitPatch.ts
@@ -3,28 +3,28 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Submits an operator's patch and learns what became of it. */
+/** Submission of an operator's configuration patch, and refresh of the configuration snapshot. */
 
 import type { PatchRecord } from '@gentiandrum/protocol';
 import type { ConfigFold, PatchVerdict } from '../config/configFold.js';
 import { perform, type Procedure } from './effects.js';
 
-/** End of a submission. `unsettled`: the log must be asked again, with the same patch id. */
-export type Submitted = PatchVerdict | { kind: 'unavailable' } | { kind: 'unsettled' };
+/** Result of a submission. After `unsettled`, resubmit with the same patch id to learn the verdict. */
+export type SubmitResult = PatchVerdict | { kind: 'unavailable' } | { kind: 'unsettled' };
 
-/** Submits a patch. Repeating it with the same patch id is safe: the log's first copy counts. */
-export function* submitPatch(record: PatchRecord, fold: ConfigFold): Procedure<Submitted> {
-  const before = fold.verdict(record.patchId);
-  if (before) {
-    return before;
+/** Submits a patch. Idempotent for the same patch id: only the first copy in the log counts. */
+export function* submitPatch(record: PatchRecord, fold: ConfigFold): Procedure<SubmitResult> {
+  const known = fold.verdict(record.patchId);
+  if (known) {
+    return known;
   }
-  const fresh = yield* perform('readConfig', {});
-  if (fresh.kind === 'unavailable') {
+  const caughtUp = yield* perform('readConfig', {});
+  if (caughtUp.kind === 'unavailable') {
     return { kind: 'unavailable' };
   }
-  const foreseen = fold.verdict(record.patchId) ?? fold.check(record.base, record.patch);
-  if (foreseen.kind !== 'accepted' || fold.verdict(record.patchId)) {
-    return foreseen;
+  const expected = fold.verdict(record.patchId) ?? fold.check(record.base, record.patch);
+  if (expected.kind !== 'accepted' || fold.verdict(record.patchId)) {
+    return expected;
   }
   const appended = yield* perform('appendPatch', { record });
   if (appended.kind === 'refused') {
@@ -39,7 +39,7 @@
   return read.kind === 'read' && appended.kind === 'appended' ? { kind: 'unavailable' } : { kind: 'unsettled' };
 }
 
-/** Keeps a snapshot in the log ahead of what retention drops. The fold is read to its end first. */
+/** Appends a snapshot of the fully read configuration, so that log retention does not drop it. Returns whether it was appended. */
 export function* refreshSnapshot(): Procedure<boolean> {
   const read = yield* perform('readConfig', {});
   if (read.kind === 'unavailable') {
--- a/tests/claims/claims.spec.ts
+++ b/tests/claims/claims.spec.ts
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { ResponseStore, ClaimIndex, KeySettler, type Served } from '@gentiandrum/core';
+import { ResponseStore, ClaimIndex, KeySettler, type ServeResult } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 function claim(key: string, nonce: string, released?: boolean): Record<string, unknown> {
   return { key, nonce, claimant: `${nonce}/1`, address: nonce, body: 'body', released };
 }
 
-function served(bytes: number): Served {
+function served(bytes: number): ServeResult {
   return { kind: 'answer', answer: { status: 200, headers: {}, body: new Uint8Array(bytes) } };
 }
 
@@ -65,7 +65,7 @@
 
   it('should notify waiters of the result, or that there is none', (t) => {
     const store = new ResponseStore(10_000);
-    const received: (Served | undefined)[] = [];
+    const received: (ServeResult | undefined)[] = [];
     store.begin('k', 'body');
     store.wait('k', (served) => received.push(served));
     store.record('k', served(1));
--- a/tests/matrix/brokenVariants.ts
+++ b/tests/matrix/brokenVariants.ts
@@ -3,50 +3,49 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Deliberately broken variants of the core, each without one mechanism: the matrix must catch every one. */
+/** Variants of the core that each lack one mechanism. The matrix must detect every one. */
 
 import { ClaimIndex, ConfigFold, Gate, RetryLedger, RetryTokenBucket } from '@gentiandrum/core';
 import { kAdapter } from './matrixWorld.js';
 
-/** A broken variant: what it leaves out, and the promise that must be seen broken. */
+/** A broken variant and the guarantee that it must violate. */
 export interface BrokenVariant {
   name: string;
-  promise: string;
-  /** Breaks the mechanism; returns how to mend it. */
+  guarantee: string;
+  /** Disables the mechanism; returns a function that restores it. */
   install: () => () => void;
 }
 
-/** Replaces a method of a class for a while. */
+/** Replaces a method of a prototype; returns a function that restores it. */
 function replace<T extends object, K extends keyof T>(proto: T, method: K, broken: T[K]): () => void {
-  const whole = proto[method];
+  const original = proto[method];
   proto[method] = broken;
   return () => {
-    proto[method] = whole;
+    proto[method] = original;
   };
 }
 
-/** The variants. */
 export const kBrokenVariants: BrokenVariant[] = [
   {
     name: 'a retry allowance that is copied to each call',
-    promise: '1 retries bounded',
+    guarantee: '1 retries bounded',
     install: () => {
-      const mends = [
+      const restores = [
         replace(RetryLedger.prototype, 'reserve', () => 2),
         replace(RetryLedger.prototype, 'takeOne', () => true),
         replace(RetryLedger.prototype, 'remaining', () => 2),
         replace(RetryTokenBucket.prototype, 'spend', () => true),
       ];
       return () => {
-        mends.forEach((mend) => {
-          mend();
+        restores.forEach((restore) => {
+          restore();
         });
       };
     },
   },
   {
     name: 'a claim that runs before it is read back',
-    promise: '5 at most once',
+    guarantee: '5 at most once',
     install: () =>
       replace(ClaimIndex.prototype, 'apply', function apply(this: ClaimIndex, _offset: number, value: unknown) {
         const latest = (value as { key: string }[]).at(-1);
@@ -56,8 +55,8 @@
       }),
   },
   {
-    name: 'a snapshot that is adopted without a look at its version',
-    promise: '8 configuration',
+    name: 'a snapshot that is adopted without a version check',
+    guarantee: '8 configuration',
     install: () =>
       replace(ConfigFold.prototype, 'adopt', function adopt(this: ConfigFold, value: unknown) {
         const { version, offset, config } = value as { version: number; offset: number; config: unknown };
@@ -66,13 +65,13 @@
       }),
   },
   {
-    name: 'a gate that forgets that it is closed',
-    promise: '6 leaving takes nothing',
+    name: 'a gate that stays open after close',
+    guarantee: '6 closed gate starts nothing',
     install: () => replace(Gate.prototype, 'close', () => undefined),
   },
   {
-    name: 'an adapter that calls a lost reply not sent',
-    promise: '4 not run',
+    name: 'an adapter that reports a lost reply as not sent',
+    guarantee: '4 not run',
     install: () => {
       kAdapter.lostMayHaveRun = false;
       return () => {
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -3,12 +3,12 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** One daemon of the matrix: the core's real objects, and nothing else. */
+/** One daemon of the matrix, made of the core's real objects. */
 
 import {
-  type AdmitEnd,
+  type AdmissionResult,
   ResponseStore,
-  type Answer,
+  type TargetResponse,
   type Candidate,
   ClaimIndex,
   ConfigFold,
@@ -31,16 +31,16 @@
 const kAnswerBytes = 1_000_000;
 const kClaims = 1_000;
 
-/** What the world gives a daemon. */
-export interface DaemonPlan {
+/** Options of a daemon of the matrix. */
+export interface DaemonOptions {
   id: string;
   service: string;
   candidates: (service: string) => Candidate[];
   journal: Journal;
   newId: () => string;
-  /** Root request of a call. */
+  /** Returns the root request of a call. */
   rootOf: (call: string) => string;
-  /** Address of the daemon that batches claims, if another does. */
+  /** Address of the daemon that batches claims; undefined when that is this daemon. */
   relay?: string;
 }
 
@@ -51,24 +51,24 @@
   readonly settler = new KeySettler();
   readonly index = new ClaimIndex(kClaims);
   readonly fold = new ConfigFold();
-  readonly waiting = new Map<string, (end: AdmitEnd) => void>();
+  readonly queuedCalls = new Map<string, (end: AdmissionResult) => void>();
   readonly running = new Map<string, () => void>();
-  readonly onDeath = new Set<() => void>();
+  readonly onCrash = new Set<() => void>();
   readonly gate: Gate<GateCall>;
-  readonly serve: ServeContext;
+  readonly serveContext: ServeContext;
   readonly gateContext: GateContext;
   readonly seen = new Set<string>();
-  dead = false;
+  crashed = false;
   stopping = false;
   pausedUntil = 0;
   inFlight = 0;
   snapshotNext = 0;
 
   constructor(
-    readonly plan: DaemonPlan,
+    readonly options: DaemonOptions,
     readonly incarnation: number,
   ) {
-    const { id, journal } = plan;
+    const { id, journal } = options;
     const events = {
       onStart: (call: GateCall) => {
         this._admit(call.id, { kind: 'started' });
@@ -82,49 +82,49 @@
       gate: this.gate,
       target: id,
       ledger: this.ledger,
-      below: new RootFilter(() => 'goodput'),
-      seen: {
+      downstream: new RootFilter(() => 'goodput'),
+      seenAttempts: {
         add: (attempt) => !this.seen.has(attempt) && this.seen.add(attempt) === this.seen,
       },
-      decide: () => undefined,
+      logDecision: () => undefined,
     };
-    this.serve = this._makeServe(journal);
+    this.serveContext = this._makeServe(journal);
   }
 
   /** `daemon/incarnation`. */
   get name(): string {
-    return `${this.plan.id}/${this.incarnation}`;
+    return `${this.options.id}/${this.incarnation}`;
   }
 
-  /** Dies: all that runs is lost, and so is its memory. */
-  die(): void {
-    this.dead = true;
-    for (const notice of this.onDeath) {
-      notice();
+  /** Crashes the daemon: its running calls and its memory are lost. */
+  crash(): void {
+    this.crashed = true;
+    for (const notify of this.onCrash) {
+      notify();
     }
-    this.onDeath.clear();
+    this.onCrash.clear();
   }
 
-  /** Tells a call that waits at the gate what became of it. */
-  admit(attempt: string, end: AdmitEnd): void {
+  /** Resumes a queued call with the gate's decision. */
+  admit(attempt: string, end: AdmissionResult): void {
     this._admit(attempt, end);
   }
 
-  private _admit(attempt: string, end: AdmitEnd): void {
-    const resume = this.waiting.get(attempt);
-    this.waiting.delete(attempt);
+  private _admit(attempt: string, end: AdmissionResult): void {
+    const resume = this.queuedCalls.get(attempt);
+    this.queuedCalls.delete(attempt);
     resume?.(end);
   }
 
   private _makeServe(journal: Journal): ServeContext {
-    const { id, candidates, newId, relay, rootOf } = this.plan;
+    const { id, candidates, newId, relay, rootOf } = this.options;
     const ratio = new RetryTokenBucket(() => 1);
     return {
       daemon: { id, incarnation: this.incarnation, address: id },
       stopping: () => this.stopping,
       candidates,
-      unreachable: () => undefined,
-      absent: () => 0,
+      onUnreachable: () => undefined,
+      unavailableTargets: () => 0,
       suspects: new Suspects({ broadcast: () => undefined, sendSome: () => undefined, onEvent: () => undefined }),
       picker: new TargetPicker(id, 'one', seededRandom(1)),
       rootFilter: new RootFilter(() => 'goodput'),
@@ -134,16 +134,16 @@
       settler: this.settler,
       claimShard: () => ({ shard: 0, index: this.index, relay }),
       newId,
-      decide: ({ step, request }) => {
+      logDecision: ({ step, request }) => {
         if (step === 'retry' || step === 'compete') {
-          journal.retried(rootOf(request));
+          journal.recordRetry(rootOf(request));
         }
       },
     };
   }
 }
 
-/** Text of an answer's body. */
-export function textOf(answer: Answer): string {
+/** Body of a response as text. */
+export function bodyText(answer: TargetResponse): string {
   return Buffer.from(answer.body).toString();
 }
--- a/tests/matrix/matrixWorld.ts
+++ b/tests/matrix/matrixWorld.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * A small deployment on virtual time whose every effect is a numbered step. At given steps faults strike; what happens is
- * written to a journal.
+ * A small deployment on virtual time. Every effect is a numbered step; faults are injected at given steps, and events are recorded in a
+ * journal.
  */
 
 import {
@@ -15,12 +15,12 @@
   type ConfigFold,
   type Effect,
   gateCall,
-  type OfferEnd,
+  type OfferResult,
   type Procedure,
   rankOf,
   type Reply,
   serveCall,
-  type Served,
+  type ServeResult,
 } from '@gentiandrum/core';
 import { kConfigStream, kSnapshotStream, type OfferTerms } from '@gentiandrum/protocol';
 import { VirtualTime } from '../support/virtualTime.js';
@@ -34,29 +34,29 @@
 
 const kHopMs = 1;
 const kWorkMs = 5;
-const kLostMs = 20;
+const kLostReplyMs = 20;
 const kLateMs = 300;
-/** Longer than every deadline of the scenarios. */
+/** Longer than every deadline in the scenarios. */
 const kPauseMs = 10_000;
 
-/** What the adapters below the core are trusted to tell; a broken variant lies. */
+/** Whether the adapter reports that a lost call may have run. A broken variant sets it to false. */
 export const kAdapter = { lostMayHaveRun: true };
 
 type EffectOf<K extends Effect['type']> = Extract<Effect, { type: K }>;
 
-/** A step as it was taken. */
+/** A performed step. */
 export interface Step {
   effect: Effect['type'];
   daemon: string;
 }
 
-/** The deployment. */
+/** Runs procedures of daemons and performs their effects. */
 export class MatrixWorld {
   readonly time = new VirtualTime();
   readonly journal = new Journal();
   readonly steps: Step[] = [];
-  /** Injections that found a step of theirs. */
-  readonly struck: Injection[] = [];
+  /** Injections that were applied. */
+  readonly injected: Injection[] = [];
   readonly log = new MatrixLog(this.journal, this.time);
   private readonly _peers = new MatrixPeers(this);
   readonly daemons = new Map<string, MatrixDaemon>();
@@ -76,7 +76,7 @@
     }
   }
 
-  /** The living daemon of this name. */
+  /** Returns the current daemon with this id. */
   daemon(id: string): MatrixDaemon {
     const daemon = this.daemons.get(id);
     if (!daemon) {
@@ -85,8 +85,8 @@
     return daemon;
   }
 
-  /** Sends a request; `then` hears how it ended, with undefined when its daemon died. */
-  send(at: string, req: Request, then: (served: Served | undefined) => void = () => undefined): void {
+  /** Sends a request; `then` receives its result, or undefined when its daemon crashed. */
+  send(at: string, req: Request, then: (served: ServeResult | undefined) => void = () => undefined): void {
     const daemon = this.daemon(at);
     const id = `q${this._ids++}`;
     const call = this._rootCall(daemon, id, req);
@@ -98,14 +98,14 @@
       idempotent: cls.idempotent,
       rank: rankOf(call.chain),
       allowance: cls.retries,
-      served: undefined as Served | undefined,
+      served: undefined as ServeResult | undefined,
     };
     this.journal.tries.push(entry);
-    const finish = (served: Served | undefined): void => {
+    const finish = (served: ServeResult | undefined): void => {
       entry.served = served;
       then(served);
     };
-    if (daemon.dead) {
+    if (daemon.crashed) {
       finish(undefined);
       return;
     }
@@ -113,10 +113,10 @@
     this._serve(daemon, call, undefined, finish);
   }
 
-  /** Runs a procedure that belongs to a daemon. */
+  /** Runs a procedure on a daemon. */
   run<T>(daemon: MatrixDaemon, procedure: Procedure<T>, ended: (value: T) => void, session?: Session): void {
     const resume: Resume = (reply) => {
-      if (daemon.dead) {
+      if (daemon.crashed) {
         return;
       }
       if (this.time.now < daemon.pausedUntil) {
@@ -126,33 +126,33 @@
         return;
       }
       const step = procedure.next(reply);
-      this.journal.holds(daemon.name, daemon.fold.version);
+      this.journal.recordVersion(daemon.name, daemon.fold.version);
       if (step.done === true) {
         ended(step.value);
       } else {
-        this._take(daemon, step.value, session, resume);
+        this._takeStep(daemon, step.value, session, resume);
       }
     };
     resume(undefined);
   }
 
-  /** Starts a daemon anew after its death; its memory is gone. */
+  /** Restarts a daemon with a new incarnation and empty memory. */
   restart(id: string): MatrixDaemon {
-    const before = this.daemon(id);
-    before.die();
-    return this._addDaemon(id, before.plan.service, before.incarnation + 1);
+    const previous = this.daemon(id);
+    previous.crash();
+    return this._addDaemon(id, previous.options.service, previous.incarnation + 1);
   }
 
-  /** Lets everything end, and reads every living daemon's configuration to the log's end. */
+  /** Runs until the given time, then folds the whole configuration stream into every live daemon. */
   settle(until: number): Map<string, ConfigFold> {
     this.time.runUntil(until);
-    const living = [...this.daemons.values()].filter((daemon) => !daemon.dead);
-    for (const daemon of living) {
+    const live = [...this.daemons.values()].filter((daemon) => !daemon.crashed);
+    for (const daemon of live) {
       this.log.foldConfig(daemon);
-      this.journal.holds(daemon.name, daemon.fold.version);
+      this.journal.recordVersion(daemon.name, daemon.fold.version);
     }
     this.time.restore();
-    return new Map(living.map((daemon) => [daemon.plan.id, daemon.fold]));
+    return new Map(live.map((daemon) => [daemon.options.id, daemon.fold]));
   }
 
   private _addDaemon(id: string, service: string, incarnation: number): MatrixDaemon {
@@ -168,7 +168,7 @@
         slots: 1,
       }));
     const relay = this._relay === id ? undefined : this._relay;
-    const plan = {
+    const options = {
       id,
       service,
       candidates,
@@ -177,23 +177,23 @@
       relay,
       rootOf: (id: string) => this._roots.get(id) ?? id,
     };
-    const daemon = new MatrixDaemon(plan, incarnation);
+    const daemon = new MatrixDaemon(options, incarnation);
     this.daemons.set(id, daemon);
     return daemon;
   }
 
-  private _serve(daemon: MatrixDaemon, call: Call, session: Session | undefined, finish: (served: Served | undefined) => void): void {
+  private _serve(daemon: MatrixDaemon, call: Call, session: Session | undefined, finish: (served: ServeResult | undefined) => void): void {
     const lost = (): void => {
       finish(undefined);
     };
-    daemon.onDeath.add(lost);
+    daemon.onCrash.add(lost);
     this._roots.set(call.id, call.chain.root);
     daemon.inFlight++;
     this.run(
       daemon,
-      serveCall(call, daemon.serve),
+      serveCall(call, daemon.serveContext),
       (served) => {
-        daemon.onDeath.delete(lost);
+        daemon.onCrash.delete(lost);
         daemon.inFlight--;
         finish(served);
       },
@@ -210,8 +210,8 @@
         importance: req.importance ?? 2,
         cohort: 0,
         depth: 0,
-        rootDaemon: daemon.plan.id,
-        rootAddress: daemon.plan.id,
+        rootDaemon: daemon.options.id,
+        rootAddress: daemon.options.id,
         rootIncarnation: daemon.incarnation,
         repeatable: false,
         path: '',
@@ -230,24 +230,24 @@
     return minted ? { kind: 'minted', key, owner: minted.owner, address: minted.owner, incarnation: 1 } : { kind: 'own', key };
   }
 
-  /** Takes a step: performs the effect, with the fault that strikes there, if any. */
-  private _take(daemon: MatrixDaemon, effect: Effect, session: Session | undefined, resume: Resume): void {
+  /** Performs the effect of a step, with the fault injected at this step, if any. */
+  private _takeStep(daemon: MatrixDaemon, effect: Effect, session: Session | undefined, resume: Resume): void {
     const number = this.steps.length;
-    this.steps.push({ effect: effect.type, daemon: daemon.plan.id });
+    this.steps.push({ effect: effect.type, daemon: daemon.options.id });
     const injection = this._injections.find(({ step, fault }) => step === number && kFaults[effect.type].includes(fault));
     if (!injection) {
       this._perform(daemon, effect, session, resume, undefined);
       return;
     }
-    this.struck.push(injection);
+    this.injected.push(injection);
     switch (injection.fault) {
       case 'crash_before':
-        daemon.die();
+        daemon.crash();
         return;
       case 'crash_after':
         this._perform(daemon, effect, session, () => undefined, undefined);
         this.time.after(kHopMs / 2, () => {
-          daemon.die();
+          daemon.crash();
         });
         return;
       case 'pause':
@@ -298,10 +298,10 @@
         this._peers.fetchAnswer(effect, reply, fault);
         return;
       case 'joinRunning':
-        this._peers.join(daemon, effect, resume, fault);
+        this._peers.joinRunning(daemon, effect, resume, fault);
         return;
-      case 'admitted':
-        daemon.waiting.set(effect.attempt, resume);
+      case 'awaitAdmission':
+        daemon.queuedCalls.set(effect.attempt, resume);
         return;
       case 'forward':
         this._forward(daemon, effect, resume, fault);
@@ -322,13 +322,13 @@
       case 'appendSnapshot':
         this.log.append(kSnapshotStream, daemon.fold.snapshot(digest), reply, fault);
         return;
-      case 'askPeers':
-        this._askPeers(daemon, reply, fault);
+      case 'queryPeers':
+        this._queryPeers(daemon, reply, fault);
         return;
       case 'appendMember':
-        this.log.append('members', { id: daemon.plan.id, goodbye: effect.goodbye }, reply, fault);
+        this.log.append('members', { id: daemon.options.id, goodbye: effect.goodbye }, reply, fault);
         return;
-      case 'spreadWord':
+      case 'notifyPeers':
         reply(undefined);
         return;
       case 'sleep':
@@ -338,7 +338,7 @@
         this._awaitIdle(daemon, effect, resume, fault);
         return;
       case 'awaitSenders':
-        // Senders are told of a leave at once here.
+        // Senders learn of a leave at once in this model.
         this.time.after(fault === 'timeout' ? effect.until - this.time.now : 0, () => {
           resume({ senders: fault === 'timeout' ? 1 : 0 });
         });
@@ -348,27 +348,27 @@
 
   private _offer(effect: EffectOf<'offer'>, session: Session | undefined, fault: Fault | undefined): void {
     const { attempt, to, terms } = effect;
-    const end = (value: OfferEnd, ms = kHopMs): void => {
+    const end = (value: OfferResult, ms = kHopMs): void => {
       this.time.after(fault === 'late' ? ms + kLateMs : ms, () => {
-        session?.push({ kind: 'ended', attempt, end: value });
+        session?.push({ kind: 'ended', attempt, result: value });
       });
     };
     const target = this.daemon(to.daemon);
-    if (fault === 'refused' || target.dead) {
+    if (fault === 'refused' || target.crashed) {
       end({ kind: 'lost', written: false });
       return;
     }
     if (fault === 'lost_before') {
-      end({ kind: 'lost', written: kAdapter.lostMayHaveRun }, kLostMs);
+      end({ kind: 'lost', written: kAdapter.lostMayHaveRun }, kLostReplyMs);
       return;
     }
     const lost = (): void => {
       end({ kind: 'lost', written: kAdapter.lostMayHaveRun });
     };
-    const arrive = (report: (value: OfferEnd) => void): void => {
-      target.onDeath.add(lost);
+    const arrive = (report: (value: OfferResult) => void): void => {
+      target.onCrash.add(lost);
       this.run(target, gateCall(terms, effect.payload, this._gateContext(target, terms)), (value) => {
-        target.onDeath.delete(lost);
+        target.onCrash.delete(lost);
         report(value);
       });
     };
@@ -379,22 +379,22 @@
       }
       if (fault === 'peer_crash') {
         this.time.after(kHopMs, () => {
-          target.die();
+          target.crash();
         });
       }
     });
   }
 
-  /** The gate's context, noting in the journal what the gate refuses for overload. */
+  /** Gate context that records refusals for overload in the journal. */
   private _gateContext(target: MatrixDaemon, terms: OfferTerms): MatrixDaemon['gateContext'] {
     const note = (reason: string): void => {
       if (reason === 'overloaded') {
-        this.journal.shed.push({ host: target.plan.id, rank: rankOf(terms), at: this.time.now, order: this.journal.next() });
+        this.journal.shed.push({ host: target.options.id, rank: rankOf(terms), at: this.time.now, order: this.journal.nextOrder() });
       }
     };
     return {
       ...target.gateContext,
-      decide: ({ reason }) => {
+      logDecision: ({ reason }) => {
         note(reason);
       },
     };
@@ -415,22 +415,22 @@
 
   private _cancel(effect: EffectOf<'cancel'>, reply: (value: Reply, ms?: number) => void, fault: Fault | undefined): void {
     const target = this.daemon(effect.to.daemon);
-    if (fault === 'lost_before' || target.dead) {
-      reply({ kind: 'unknown' }, kLostMs);
+    if (fault === 'lost_before' || target.crashed) {
+      reply({ kind: 'unknown' }, kLostReplyMs);
       return;
     }
     const waiting = target.gate.cancel(effect.attempt);
     if (waiting) {
       target.admit(effect.attempt, { kind: 'cancelled' });
     }
-    const unseen = !waiting && target.gateContext.seen.add(effect.attempt);
+    const unseen = !waiting && target.gateContext.seenAttempts.add(effect.attempt);
     target.running.get(effect.attempt)?.();
     const kind = waiting || unseen ? 'before_start' : 'started';
     reply({ kind: fault === 'lost_after' ? 'unknown' : kind });
   }
 
-  private _askPeers(daemon: MatrixDaemon, reply: (value: Reply) => void, fault: Fault | undefined): void {
-    const others = fault === 'lost_before' ? [] : [...this.daemons.values()].filter((other) => other !== daemon && !other.dead);
+  private _queryPeers(daemon: MatrixDaemon, reply: (value: Reply) => void, fault: Fault | undefined): void {
+    const others = fault === 'lost_before' ? [] : [...this.daemons.values()].filter((other) => other !== daemon && !other.crashed);
     const offered = fault === 'stale' ? this.log.stream(kSnapshotStream).slice(0, 1) : others.map(({ fold }) => fold.snapshot(digest));
     offered.forEach((snapshot) => daemon.fold.adopt(snapshot, digest));
     reply({ answered: others.length });
@@ -505,20 +505,20 @@
 
   private _startRun(daemon: MatrixDaemon, terms: OfferTerms, body: Uint8Array): void {
     const req = this._requests.get(terms.request);
-    const meaning = req?.key ?? `${terms.root}/${terms.depth}/${Buffer.from(body).toString()}`;
-    const run = { host: daemon.plan.id, request: terms.request, root: terms.root, meaning, idempotent: terms.idempotent };
-    this.journal.ran({ ...run, rank: rankOf(terms), at: this.time.now, cut: false });
+    const onceKey = req?.key ?? `${terms.root}/${terms.depth}/${Buffer.from(body).toString()}`;
+    const run = { host: daemon.options.id, request: terms.request, root: terms.root, onceKey, idempotent: terms.idempotent };
+    this.journal.recordRun({ ...run, rank: rankOf(terms), at: this.time.now, cut: false });
   }
 
-  /** The target works, and makes its onward calls through its own daemon. */
+  /** Simulates the target's work and its onward calls through the local daemon. */
   private _work(daemon: MatrixDaemon, terms: OfferTerms, done: (ok: boolean) => void): void {
     const req = this._requests.get(terms.request);
     const onward = req?.onward ?? [];
     let open = onward.length;
     let ok = req?.fails !== true;
     this.time.after(kWorkMs, () => {
-      if (open === 0 || daemon.dead) {
-        done(ok && !daemon.dead);
+      if (open === 0 || daemon.crashed) {
+        done(ok && !daemon.crashed);
         return;
       }
       for (const next of onward) {
--- a/tests/matrix/runMatrix.ts
+++ b/tests/matrix/runMatrix.ts
@@ -3,29 +3,29 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Enumerates the cells: every fault at every step, alone, and in pairs. */
+/** Runs every fault at every step, alone and in pairs. */
 
 import { violations } from './checkers.js';
 import { type Fault, type Injection, kFaults } from './faults.js';
 import { type Cell, play, type Scenario } from './scenarios.js';
 
-/** What the matrix found. */
+/** Result of a run of the matrix. */
 export interface MatrixReport {
   cells: number;
   pairs: number;
   violations: string[];
-  /** Cells by effect and fault, `effect/fault`. */
-  byFault: Map<string, number>;
-  /** Steps of the plain run that no fault struck: there must be none. */
-  missed: string[];
+  /** Number of cells by `effect/fault`. */
+  cellsByFault: Map<string, number>;
+  /** Faults that were not injected at their step. Must be empty. */
+  notInjected: string[];
 }
 
-/** Chooses pairs; all unless the caller samples. */
+/** Selects the pairs to run by index. */
 export type PairFilter = (index: number) => boolean;
 
-/** Runs the matrix over scenarios. */
-export function runMatrix(scenarios: readonly Scenario[], takePair: PairFilter): MatrixReport {
-  const report: MatrixReport = { cells: 0, pairs: 0, violations: [], byFault: new Map(), missed: [] };
+/** Runs the matrix over scenarios: each without faults, with single faults, and with the selected pairs. */
+export function runMatrix(scenarios: readonly Scenario[], includePair: PairFilter): MatrixReport {
+  const report: MatrixReport = { cells: 0, pairs: 0, violations: [], cellsByFault: new Map(), notInjected: [] };
   let pair = 0;
   for (const scenario of scenarios) {
     const plain = play(scenario, []);
@@ -36,7 +36,7 @@
       check(report, scenario, [first], cell);
       count(report, plain, first, cell);
       for (const second of injectionsFrom(cell, first.step + 1)) {
-        if (takePair(pair++)) {
+        if (includePair(pair++)) {
           report.pairs++;
           check(report, scenario, [first, second], play(scenario, [first, second]));
         }
@@ -46,7 +46,7 @@
   return report;
 }
 
-/** Every fault that the steps of a cell admit, from a step on. */
+/** All possible injections at the steps of a cell, beginning at a step. */
 function injectionsFrom({ world }: Cell, from: number): Injection[] {
   return world.steps.flatMap(({ effect }, step) => (step < from ? [] : kFaults[effect].map((fault: Fault) => ({ step, fault }))));
 }
@@ -61,15 +61,15 @@
 
 function count(report: MatrixReport, plain: Cell, { step, fault }: Injection, cell: Cell): void {
   const name = `${plain.world.steps[step]?.effect ?? '?'}/${fault}`;
-  report.byFault.set(name, (report.byFault.get(name) ?? 0) + 1);
-  if (cell.world.struck.length === 0) {
-    report.missed.push(`${name} at step ${step}`);
+  report.cellsByFault.set(name, (report.cellsByFault.get(name) ?? 0) + 1);
+  if (cell.world.injected.length === 0) {
+    report.notInjected.push(`${name} at step ${step}`);
   }
 }
 
-/** Rows of the fault table that no cell filled. */
-export function emptyRows(report: MatrixReport): string[] {
+/** Entries of the fault table, `effect/fault`, without a cell. */
+export function uncoveredFaults(report: MatrixReport): string[] {
   return Object.entries(kFaults).flatMap(([effect, faults]) =>
-    faults.map((fault) => `${effect}/${fault}`).filter((name) => !report.byFault.has(name)),
+    faults.map((fault) => `${effect}/${fault}`).filter((name) => !report.cellsByFault.has(name)),
   );
 }
--- a/tests/quarantine/quarantineFleet.ts
+++ b/tests/quarantine/quarantineFleet.ts
@@ -6,12 +6,12 @@
 /** A fleet on virtual time: the real suspect logic with simulated target crashes, and messages that are delayed, duplicated or lost. */
 
 import {
-  type CallEnd,
+  type CallResult,
   hashText,
   monotonicMs,
   type Offer,
   type RequestIdentity,
-  type RouteEnd,
+  type RouteResult,
   routeRequest,
   mayProbe,
   type SuspectCall,
@@ -49,12 +49,12 @@
 /** The result of one request. */
 export interface Outcome {
   type: RequestType;
-  end: RouteEnd | 'unfinished';
+  end: RouteResult | 'unfinished';
 }
 
 interface ModelCall extends SuspectCall {
   type: RequestType;
-  reply: (end: CallEnd) => void;
+  reply: (end: CallResult) => void;
 }
 
 /** A host with its daemon and its target. */
@@ -169,15 +169,15 @@
           return open[Math.floor(this._random() * open.length)];
         },
         verdict,
-        mayTry: () => {
+        mayProbe: () => {
           const ready = candidates().length;
           return mayProbe({ ready, unreachable: this.hosts.length - ready }, host.suspects.msSinceUpdate(suspicion()?.fingerprint ?? ''));
         },
         remainingMs: () => deadline - monotonicMs(),
-        usefulMs: () => 5,
+        minUsefulMs: () => 5,
       },
     );
-    const advance = (step: IteratorResult<Offer, RouteEnd>): void => {
+    const advance = (step: IteratorResult<Offer, RouteResult>): void => {
       if (host.generation !== generation || outcome.end !== 'unfinished') {
         return;
       }
@@ -289,11 +289,11 @@
     from: ModelHost,
     { target }: Offer,
     { type, suspicion, deadline }: { type: RequestType; suspicion: Suspicion | undefined; deadline: number },
-    done: (end: CallEnd) => void,
+    done: (end: CallResult) => void,
   ): void {
     const to = this._hostAt(this.hosts.findIndex(({ name }) => name === target.host));
     const settled = { over: false };
-    const settle = (end: CallEnd): void => {
+    const settle = (end: CallResult): void => {
       if (!settled.over) {
         settled.over = true;
         done(end);
@@ -342,7 +342,7 @@
     }
   }
 
-  private _finish(host: ModelHost, call: ModelCall, end: CallEnd): void {
+  private _finish(host: ModelHost, call: ModelCall, end: CallResult): void {
     call.reply(end);
     host.gate.leave(call);
   }
--- a/tests/routing/deadTargets.spec.ts
+++ b/tests/routing/deadTargets.spec.ts
@@ -6,8 +6,8 @@
 /** Guards against sending calls to dead targets whose daemons still run: their gates report no load and would win each comparison. */
 
 import {
-  type CallEnd,
-  isVain,
+  type CallResult,
+  foundNoTarget,
   Placement,
   routeRequest,
   seededRandom,
@@ -86,8 +86,8 @@
       choose: (excluded) => placement.choose(this._directory.ready('s'), excluded, kRoute),
       remainingMs: () => 1_000,
       verdict: () => 'clear',
-      mayTry: () => true,
-      usefulMs: () => 5,
+      mayProbe: () => true,
+      minUsefulMs: () => 5,
     });
     const advance = (step: ReturnType<typeof procedure.next>): void => {
       if (step.done === true) {
@@ -99,7 +99,7 @@
       this.counts.offers++;
       placement.recordSent(host);
       this._offer(Number(host.slice(1)), (end) => {
-        const unsuccessful = isVain(end);
+        const unsuccessful = foundNoTarget(end);
         this.counts.unsuccessful += unsuccessful ? 1 : 0;
         const gate = this._gates[Number(host.slice(1))];
         const load =
@@ -144,13 +144,13 @@
     });
   }
 
-  private _offer(at: number, done: (end: CallEnd) => void): void {
+  private _offer(at: number, done: (end: CallResult) => void): void {
     const gate = this._gates[at];
     if (!gate) {
       return;
     }
     const id = this._nextId++;
-    const reply = (end: CallEnd): void => {
+    const reply = (end: CallResult): void => {
       this._time.after(kHopMs, () => {
         done(end);
       });
@@ -171,7 +171,7 @@
     });
   }
 
-  private _run(at: number, id: number, reply: (end: CallEnd) => void): void {
+  private _run(at: number, id: number, reply: (end: CallResult) => void): void {
     const gate = this._gates[at];
     if (this.dead.has(at)) {
       this._recordEvidence(at, 'refused');
--- a/tests/workspaces/admitRequest.spec.ts
+++ b/tests/workspaces/admitRequest.spec.ts
@@ -6,10 +6,10 @@
 /** Admission of external requests. Guards against a wrong order of checks, and against effects of one overloaded workspace on others. */
 
 import {
-  type AdmitSurroundings,
+  type AdmitContext,
   admitRequest,
-  type ArrivedRequest,
-  type EntryEnd,
+  type EntryRequest,
+  type EntryResult,
   QuotaBucket,
   RootAdmission,
   RouteTable,
@@ -43,7 +43,7 @@
   ranks: number[];
 }
 
-function surroundings(recorded: Recorded, changed: Partial<AdmitSurroundings> = {}): AdmitSurroundings {
+function surroundings(recorded: Recorded, changed: Partial<AdmitContext> = {}): AdmitContext {
   return {
     tables: () => kTables,
     validUntil: () => 1_000,
@@ -52,7 +52,7 @@
       recorded.taken.push(workspace);
       return { kind: 'granted', share: { host: 'h', zone: 'z', fraction: 1 } };
     },
-    sheds: (_route, rank) => {
+    shouldShed: (_route, rank) => {
       recorded.ranks.push(rank);
       return false;
     },
@@ -60,7 +60,7 @@
   };
 }
 
-function enter(req: Partial<ArrivedRequest>, changed?: Partial<AdmitSurroundings>): { end: EntryEnd; recorded: Recorded } {
+function enter(req: Partial<EntryRequest>, changed?: Partial<AdmitContext>): { end: EntryResult; recorded: Recorded } {
   const recorded: Recorded = { taken: [], ranks: [] };
   const procedure = admitRequest({ host: 'app', path: '/read/1', presented: { kind: 'none' }, ...req }, surroundings(recorded, changed));
   const step = procedure.next();
@@ -74,7 +74,7 @@
 
 describe('the admission of a request', () => {
   it('should return one outcome per reason, and take a token only after all other checks', (t) => {
-    const cases: [EntryEnd['kind'], Partial<ArrivedRequest>, Partial<AdmitSurroundings>?][] = [
+    const cases: [EntryResult['kind'], Partial<EntryRequest>, Partial<AdmitContext>?][] = [
       ['no_configuration', kCrew, { tables: () => undefined }],
       ['no_route', { ...kCrew, path: '/none/' }],
       ['no_key', {}],
@@ -105,7 +105,7 @@
   });
 
   it('should return the workspace of a shed request, so that its token is returned', (t) => {
-    const { end } = enter(kCrew, { sheds: () => true });
+    const { end } = enter(kCrew, { shouldShed: () => true });
     t.is(end.kind === 'shed' ? end.workspace?.token?.host : undefined, 'h');
   });
 });
