--- a/packages/mesh/src/app/calls/callExchange.ts
+++ b/packages/mesh/src/app/calls/callExchange.ts
@@ -29,21 +29,21 @@
 } from '@gentiandrum/core';
 import type { Route } from '@gentiandrum/protocol';
 import type { PeerCall } from '../../client/callCodec.js';
-import type { Deadlines, Due } from './deadlines.js';
+import type { Deadlines, Expirable } from './deadlines.js';
 import { identityOf } from './requestIdentity.js';
 import type { OfferDone, OfferHandle } from './targetGate.js';
 
 /** Time that an answer needs on its way back, in milliseconds; an offer with less left is not made. */
-const kUsefulMs = 5;
+const kMinRemainingMs = 5;
 /** Share of the latency target that a caller's own request may wait at a gate before it is refused instead. */
-const kWaitShare = 0.2;
+const kExternalWaitShare = 0.2;
 /** The same for a call of a target: refused, it would cost the work above it, so it may wait longer. */
-const kInnerWaitShare = 0.5;
+const kInternalWaitShare = 0.5;
 
 /** Share of the time that is left for which a suspect may wait at a gate. */
 const kSuspectWaitShare = 0.5;
 
-const kNoOffers: readonly FailedOffer[] = [];
+const kNoFailedOffers: readonly FailedOffer[] = [];
 
 /** What an exchange uses of its daemon. */
 export interface ExchangeDeps {
@@ -55,10 +55,10 @@
   chains: ChainModel;
   suspects: Pick<Suspects, 'assess' | 'quietMs'>;
   deadlines: Deadlines;
-  sent(target: TargetRecord, first: boolean): void;
-  ended(host: string, route: string, end: PlacedEnd): void;
+  onOfferSent(target: TargetRecord, first: boolean): void;
+  onOfferResult(host: string, route: string, end: PlacedEnd): void;
   /** A host's gate has no target to offer: others come first for a while. */
-  avoid(host: string): void;
+  deprioritize(host: string): void;
 }
 
 /** A request as the server hands it over. */
@@ -90,31 +90,31 @@
 }
 
 /** Final answer, or that time ran out before one came. */
-export type ExchangeEnd = RouteEnd | { kind: 'timed_out' };
+export type ExchangeResult = RouteEnd | { kind: 'timed_out' };
 
 /** One request under way. */
-export class CallExchange implements Due {
+export class CallExchange implements Expirable {
   private readonly _procedure: Generator<Offer, RouteEnd, CallEnd>;
-  private readonly _takenAt = monotonicMs();
+  private readonly _receivedAt = monotonicMs();
   private _handle: OfferHandle | undefined;
   private _offers = 0;
   private _failed: FailedOffer[] | undefined;
   /** What is held against the request's kind, as of the latest offer. */
-  private _assessed: Assessment | undefined;
+  private _assessment: Assessment | undefined;
   private _target = '';
-  private _ended = false;
+  private _finished = false;
 
   constructor(
     private readonly _req: RoutedRequest,
     private readonly _deps: ExchangeDeps,
-    private readonly _done: (end: ExchangeEnd) => void,
+    private readonly _done: (end: ExchangeResult) => void,
   ) {
     this._procedure = routeRequest(_req.route, {
       choose: (excluded) => this._choose(excluded),
       verdict: () => this._verdict(),
       mayTry: () => this._mayTry(),
       remainingMs: () => this._remainingMs(),
-      usefulMs: () => kUsefulMs,
+      usefulMs: () => kMinRemainingMs,
     });
   }
 
@@ -130,12 +130,12 @@
 
   /** Offers that brought no success, in their order. */
   get failed(): readonly FailedOffer[] {
-    return this._failed ?? kNoOffers;
+    return this._failed ?? kNoFailedOffers;
   }
 
   /** Time since the request was taken, in milliseconds. */
   get ageMs(): number {
-    return monotonicMs() - this._takenAt;
+    return monotonicMs() - this._receivedAt;
   }
 
   /** Time at which nobody waits any more, on the monotonic clock. */
@@ -151,28 +151,28 @@
 
   /** The caller is gone: nobody wants the answer. */
   abandon(): void {
-    this._end();
+    this._finish();
     this._handle?.cancel();
   }
 
   /** Looked at once for each offer: what the offer needs of it beyond the verdict is kept until it is made. */
   private _verdict(): Verdict {
-    this._assessed = this._deps.suspects.assess(() => identityOf(this._req));
-    return this._assessed?.verdict ?? 'clear';
+    this._assessment = this._deps.suspects.assess(() => identityOf(this._req));
+    return this._assessment?.verdict ?? 'clear';
   }
 
   private _mayTry(): boolean {
     const { service } = this._req;
     const targets = { ready: this._deps.candidates(service).length, unreachable: this._deps.unreachable(service) };
-    return sparesTarget(targets, this._deps.suspects.quietMs(this._assessed?.suspicion.fingerprint ?? ''));
+    return sparesTarget(targets, this._deps.suspects.quietMs(this._assessment?.suspicion.fingerprint ?? ''));
   }
 
   /** A suspect goes where all daemons send its kind, so that its copies meet at one gate. */
   private _choose(excluded: ReadonlySet<string>): TargetRecord | undefined {
     const { route, service } = this._req;
     const candidates = this._deps.candidates(service);
-    if (this._assessed && this._assessed.verdict !== 'clear') {
-      return trialTarget(this._assessed.suspicion.fingerprint, candidates, excluded);
+    if (this._assessment && this._assessment.verdict !== 'clear') {
+      return trialTarget(this._assessment.suspicion.fingerprint, candidates, excluded);
     }
     return this._deps.choose(candidates, excluded, route);
   }
@@ -182,28 +182,28 @@
   }
 
   private _advance(step: IteratorResult<Offer, RouteEnd>): void {
-    if (this._ended) {
+    if (this._finished) {
       return;
     }
     if (step.done === true) {
-      this._end();
+      this._finish();
       this._done(step.value);
       return;
     }
-    this._make(step.value);
+    this._sendOffer(step.value);
   }
 
-  private _make(offer: Offer): void {
+  private _sendOffer(offer: Offer): void {
     const { target } = offer;
     const sentAt = monotonicMs();
     this._offers++;
     this._target = target.host;
-    this._deps.sent(target, this._offers === 1);
+    this._deps.onOfferSent(target, this._offers === 1);
     const progress = { settled: false };
-    const handle = this._deps.offer(target, this._callFor(offer), (end, report) => {
+    const handle = this._deps.offer(target, this._toPeerCall(offer), (end, report) => {
       progress.settled = true;
-      this._note(target, end, report, monotonicMs() - sentAt);
-      if (!this._ended) {
+      this._recordResult(target, end, report, monotonicMs() - sentAt);
+      if (!this._finished) {
         this._advance(this._procedure.next(end));
       }
     });
@@ -212,20 +212,20 @@
     }
   }
 
-  private _note(target: TargetRecord, end: CallEnd, report: GateReport, tookMs: number): void {
+  private _recordResult(target: TargetRecord, end: CallEnd, report: GateReport, tookMs: number): void {
     const answered = end.kind === 'answered';
-    this._remember(target, end, report, tookMs);
+    this._recordFailure(target, end, report, tookMs);
     const failed = end.kind === 'lost' ? end.reason !== 'cancelled' : answered && end.answer.status >= 500;
     // A gate that takes nothing, or is another host's by now, says nothing of the target that was meant, and must not look empty.
-    const vain = isVain(end);
-    const load = report.limit > 0 && !vain ? report : undefined;
-    if (vain) {
-      this._deps.avoid(target.host);
+    const unsuccessful = isVain(end);
+    const load = report.limit > 0 && !unsuccessful ? report : undefined;
+    if (unsuccessful) {
+      this._deps.deprioritize(target.host);
     }
     if (load) {
       this._deps.chains.recordReport(this._req.route.name, target.host, load);
     }
-    this._deps.ended(target.host, this._req.route.name, {
+    this._deps.onOfferResult(target.host, this._req.route.name, {
       load,
       tookMs: answered && !failed ? tookMs : undefined,
       bytes: answered ? this._req.body.length + end.answer.body.length : undefined,
@@ -233,7 +233,7 @@
     });
   }
 
-  private _remember({ host }: TargetRecord, end: CallEnd, { inFlight, queued, limit }: GateReport, tookMs: number): void {
+  private _recordFailure({ host }: TargetRecord, end: CallEnd, { inFlight, queued, limit }: GateReport, tookMs: number): void {
     if (end.kind === 'answered' && end.answer.status < 500) {
       return;
     }
@@ -242,25 +242,25 @@
     this._failed.push({ host, end: text, ms: Math.round(tookMs), inFlight, queued, limit });
   }
 
-  private _callFor({ target, repeat, suspect }: Offer): PeerCall {
+  private _toPeerCall({ target, repeat, suspect }: Offer): PeerCall {
     const { route, callerService, requestId, method, path, headers, body, rank, workspace } = this._req;
     const remainingMs = Math.max(1, this._remainingMs());
-    const inner = !workspace && this._deps.chains.isInternal(route.name) === true;
+    const internal = !workspace && this._deps.chains.isInternal(route.name) === true;
     return {
       route: route.name,
       service: target.service,
       // A suspect waits for the others of its kind: late is better than not at all.
       waitMs: suspect
         ? remainingMs * kSuspectWaitShare
-        : Math.max(0, route.latencyTargetMs * (inner ? kInnerWaitShare : kWaitShare) - this.ageMs),
+        : Math.max(0, route.latencyTargetMs * (internal ? kInternalWaitShare : kExternalWaitShare) - this.ageMs),
       remainingMs: Math.floor(remainingMs),
       repeat,
-      inner,
+      inner: internal,
       idempotent: route.idempotent,
-      rank: inner ? undefined : rank,
+      rank: internal ? undefined : rank,
       instance: target.instance,
       callerService,
-      suspicion: suspect ? this._assessed?.suspicion : undefined,
+      suspicion: suspect ? this._assessment?.suspicion : undefined,
       requestId,
       method,
       path,
@@ -278,15 +278,15 @@
   /** The target ends its work by itself at its deadline; only what has not started is withdrawn. */
   expire(): void {
     const handle = this._handle;
-    this._end();
+    this._finish();
     if (this._req.route.idempotent) {
       handle?.cancel();
     }
     this._done({ kind: 'timed_out' });
   }
 
-  private _end(): void {
-    this._ended = true;
+  private _finish(): void {
+    this._finished = true;
     this._deps.deadlines.delete(this);
     this._procedure.return({ kind: 'lost', reason: 'ended early' });
   }
--- a/packages/mesh/src/app/calls/deadlines.ts
+++ b/packages/mesh/src/app/calls/deadlines.ts
@@ -11,7 +11,7 @@
 import { monotonicMs } from '@gentiandrum/core';
 
 /** Something that ends at a time. */
-export interface Due {
+export interface Expirable {
   /** On the monotonic clock. */
   readonly deadline: number;
   /** Called once, when the deadline has passed. */
@@ -20,24 +20,24 @@
 
 /** The deadlines of one daemon. */
 export class Deadlines {
-  private readonly _due = new Set<Due>();
+  private readonly _pending = new Set<Expirable>();
 
   /** Expires `due` at the first look after its deadline, unless it is deleted before. */
-  add(due: Due): void {
-    this._due.add(due);
+  add(item: Expirable): void {
+    this._pending.add(item);
   }
 
-  delete(due: Due): void {
-    this._due.delete(due);
+  delete(item: Expirable): void {
+    this._pending.delete(item);
   }
 
   /** Expires what is due; called a few times a second. */
   check(): void {
     const now = monotonicMs();
-    for (const due of this._due) {
-      if (due.deadline <= now) {
-        this._due.delete(due);
-        due.expire();
+    for (const item of this._pending) {
+      if (item.deadline <= now) {
+        this._pending.delete(item);
+        item.expire();
       }
     }
   }
--- a/packages/mesh/src/app/calls/requestEntry.ts
+++ b/packages/mesh/src/app/calls/requestEntry.ts
@@ -31,30 +31,30 @@
 }
 
 /** A request on its way in. */
-export interface Entering {
+export interface PendingEntry {
   /** The caller is gone: nobody wants the decision any more. */
-  leave(): void;
+  cancel(): void;
 }
 
 /** Entry of one daemon. */
 export class RequestEntry {
   private readonly _admission = new RootAdmission();
-  private readonly _around: AdmitSurroundings;
+  private readonly _environment: AdmitSurroundings;
 
   constructor(private readonly _deps: RequestEntryDeps) {
-    this._around = {
+    this._environment = {
       tables: () => _deps.tables(),
       validUntil: () => _deps.validUntil(),
       now: monotonicMs,
       takeToken: (workspace, limits) => _deps.quotas.take(workspace, limits),
-      sheds: (route, rank, keyed) => this._sheds(route, rank, keyed),
+      sheds: (route, rank, keyed) => this._shouldShed(route, rank, keyed),
     };
   }
 
   /** Decides on a request; `done` may be called before this returns, and is not called once the caller has left. */
-  enter(req: ArrivedRequest, done: (end: EntryEnd) => void): Entering {
-    const procedure = admitRequest(req, this._around);
-    const progress = { left: false };
+  enter(req: ArrivedRequest, done: (end: EntryEnd) => void): PendingEntry {
+    const procedure = admitRequest(req, this._environment);
+    const progress = { cancelled: false };
     const advance = (step: IteratorResult<TokenRequest, EntryEnd>): void => {
       if (step.done !== true) {
         this._deps.quotas.ask(step.value, (answer: TokenAnswer) => {
@@ -63,32 +63,32 @@
         return;
       }
       const end = step.value;
-      if (end.kind === 'shed' || (end.kind === 'admitted' && progress.left)) {
-        this.notRun(end.workspace);
+      if (end.kind === 'shed' || (end.kind === 'admitted' && progress.cancelled)) {
+        this.returnToken(end.workspace);
       }
-      if (!progress.left) {
+      if (!progress.cancelled) {
         done(end);
       }
     };
     advance(procedure.next());
     return {
-      leave: () => {
-        progress.left = true;
+      cancel: () => {
+        progress.cancelled = true;
       },
     };
   }
 
   /** The request of a workspace has not run: its token serves another one. */
-  notRun(workspace: RequestWorkspace | undefined): void {
+  returnToken(workspace: RequestWorkspace | undefined): void {
     if (workspace?.token) {
       this._deps.quotas.giveBack(workspace.name, workspace.token.host);
     }
   }
 
   /** Only what is known to come from people is turned away here. */
-  private _sheds(route: Route, rank: number, keyed: boolean): boolean {
+  private _shouldShed(route: Route, rank: number, keyed: boolean): boolean {
     const { chains } = this._deps;
-    const fromPeople = keyed || chains.isInternal(route.name) === false;
-    return fromPeople && !this._admission.admits(rank, chains.level(route.name), Math.random(), monotonicMs());
+    const external = keyed || chains.isInternal(route.name) === false;
+    return external && !this._admission.admits(rank, chains.level(route.name), Math.random(), monotonicMs());
   }
 }
--- a/packages/mesh/src/app/calls/targetGate.ts
+++ b/packages/mesh/src/app/calls/targetGate.ts
@@ -41,12 +41,12 @@
 import type { MeshMetrics, MetricsView } from '../meshMetrics.js';
 
 /** How often calls that waited too long are looked for, in milliseconds: a tenth of the tightest latency targets seen. */
-const kExpireMs = 10;
+const kExpiryIntervalMs = 10;
 /** Longest time after which a refused caller may come back, in milliseconds. */
 const kMaxRetryAfterMs = 2_000;
 
 /** Requests that one line about the end of a target names at most. */
-const kNamedRequests = 60;
+const kMaxLoggedRequests = 60;
 
 /** Called once with the end of an offered call. */
 export type OfferDone = (end: CallEnd, report: GateReport) => void;
@@ -67,11 +67,11 @@
   /** Targets of the service, this one included. */
   targets(service: string): number;
   /** Whether a kind of request to a service is tried on this host. */
-  isTrialTarget(fingerprint: string, service: string): boolean;
+  isProbeTarget(fingerprint: string, service: string): boolean;
   /** Mean charge of calls on a route that begin on this host, in milliseconds. */
   chargeMs(route: string): number;
   /** Whether a key is still its workspace's, as far as this daemon knows. */
-  keyHolds(workspace: CallWorkspace): boolean;
+  isKeyValid(workspace: CallWorkspace): boolean;
   /** Called after each change of the target's state. */
   onChange(): void;
   chains: ChainModel;
@@ -80,7 +80,7 @@
   events: EventLog;
 }
 
-interface Waiting extends GatedCall, SuspectCall {
+interface OfferedCall extends GatedCall, SuspectCall {
   readonly call: PeerCall;
   expiresAt: number;
   /** Until when the key of its workspace may be relied on. */
@@ -92,20 +92,20 @@
 
 /** Gate of the target on this host. */
 export class TargetGate {
-  private readonly _gate: SlotGate<Waiting>;
+  private readonly _gate: SlotGate<OfferedCall>;
   private readonly _budget: RepeatBudget;
-  private readonly _suspects: SuspectGate<Waiting>;
+  private readonly _suspects: SuspectGate<OfferedCall>;
   /** End that was counted last. */
-  private _lastCrash: number | undefined;
-  private readonly _running = new Map<PeerCall, Waiting>();
+  private _lastCrashId: number | undefined;
+  private readonly _running = new Map<PeerCall, OfferedCall>();
   private _client: TargetClient | undefined;
   private readonly _life: TargetLife;
   private _reach = new TargetReach();
   /** Connections that the target accepts, as known now. */
   private readonly _connections = (): number => this._deps.maxConnections(this._life.known.service);
   /** When the target is warm after its start, as it last announced, on the monotonic clock. */
-  private _warmFrom = 0;
-  private _held = true;
+  private _warmAt = 0;
+  private _recovering = true;
   private _stopping = false;
   private _nextId = 1;
   private readonly _level = new GateLevel();
@@ -115,23 +115,23 @@
   constructor(private readonly _deps: TargetGateDeps) {
     this._life = new TargetLife(_deps.address);
     this._budget = new RepeatBudget(_deps.bound);
-    this._suspects = new SuspectGate<Waiting>(_deps.suspects, {
-      onPass: (waiting) => {
-        this._letIn(waiting);
+    this._suspects = new SuspectGate<OfferedCall>(_deps.suspects, {
+      onPass: (offered) => {
+        this._offerToSlotGate(offered);
       },
-      onRefuse: (waiting, reason) => {
-        this._refuse(waiting, reason);
+      onRefuse: (offered, reason) => {
+        this._refuse(offered, reason);
       },
-      isTrialTarget: (fingerprint) => _deps.isTrialTarget(fingerprint, this._life.known.service),
+      isTrialTarget: (fingerprint) => _deps.isProbeTarget(fingerprint, this._life.known.service),
     });
-    this._gate = new SlotGate<Waiting>(
+    this._gate = new SlotGate<OfferedCall>(
       {
-        onStart: (waiting) => {
-          this._start(waiting);
+        onStart: (offered) => {
+          this._start(offered);
         },
-        onRefuse: (waiting, reason) => {
-          this._noteRefused(reason);
-          this._refuse(waiting, reason);
+        onRefuse: (offered, reason) => {
+          this._recordRefusal(reason);
+          this._refuse(offered, reason);
         },
       },
       this._connections,
@@ -139,13 +139,13 @@
   }
 
   /** State of the target as other daemons should see it. */
-  get view(): Pick<TargetRecord, 'instance' | 'born' | 'service' | 'state' | 'slots'> {
+  get advertisedState(): Pick<TargetRecord, 'instance' | 'born' | 'service' | 'state' | 'slots'> {
     const { instance, born, service, state, slots } = this._life.known;
     if (state !== 'ready') {
       return { instance, born, service, state, slots };
     }
     const usable = this._reach.reachable ? 'ready' : 'unreachable';
-    return { instance, born, service, state: this._held || this._stopping ? 'unknown' : usable, slots };
+    return { instance, born, service, state: this._recovering || this._stopping ? 'unknown' : usable, slots };
   }
 
   /** Load and level, for the metrics. */
@@ -168,23 +168,23 @@
   }
 
   /** Takes an announcement of the target; true when it changed anything. */
-  announce(word: Announcement): boolean {
+  announce(announcement: Announcement): boolean {
     const before = this._life.known;
-    const changed = this._life.announce(word);
+    const changed = this._life.announce(announcement);
     const { instance, born, state, slots, address, coldMs } = this._life.known;
-    const taken = before !== this._life.known;
+    const updated = before !== this._life.known;
     if (!isSameIncarnation(before, { instance, born }) || address !== before.address) {
       this._client?.close();
       this._client = undefined;
       this._reach = new TargetReach();
     }
-    if (word.instance === instance && word.state === 'ready') {
+    if (announcement.instance === instance && announcement.state === 'ready') {
       this._reach.note('heartbeat', monotonicMs());
     }
-    if (taken) {
+    if (updated) {
       // Also when nothing changed that others should know: how long the target stays slow may be told for the first time.
-      this._warmFrom = monotonicMs() + coldMs;
-      this._openOrClose();
+      this._warmAt = monotonicMs() + coldMs;
+      this._updateGate();
     }
     if (changed) {
       this._deps.events.notable('target', `The target is ${state}.`, { instance, born, state, slots });
@@ -194,26 +194,26 @@
   }
 
   /** Takes what others remember of this host's target. */
-  remember(record: TargetRecord): void {
+  restore(record: TargetRecord): void {
     if (this._life.remember(record)) {
       const { instance, state } = this._life.known;
       this._deps.events.notable('target', `Others remember that the target is ${state}.`, { instance });
-      this._apply();
+      this._applyState();
     }
   }
 
   /** Lets calls in once this daemon has heard what others remember of its target. */
-  release(): void {
-    if (this._held) {
-      this._held = false;
-      this._apply();
+  endRecovery(): void {
+    if (this._recovering) {
+      this._recovering = false;
+      this._applyState();
     }
   }
 
   /** The daemon stops: takes no new calls. What runs is left to end. */
   stop(): void {
     this._stopping = true;
-    this._apply();
+    this._applyState();
   }
 
   /** Steers the level over the time since the last call, and looks after connections; called a few times a second. */
@@ -236,7 +236,7 @@
   /** Takes a call of this or another daemon. */
   offer(call: PeerCall, done: OfferDone): OfferHandle {
     const now = monotonicMs();
-    const waiting: Waiting = {
+    const offered: OfferedCall = {
       id: this._nextId++,
       waitUntil: now + Math.min(call.waitMs, call.remainingMs),
       rank: call.rank,
@@ -251,27 +251,27 @@
       done,
     };
     this._deps.chains.recordArrival(call.route, call.callerService, call.workspace !== undefined);
-    const refusal = this._refusalAtOnce(call) ?? this._takeSuspect(waiting);
+    const refusal = this._immediateRefusal(call) ?? this._offerToSuspectGate(offered);
     if (refusal) {
-      this._refuse(waiting, refusal);
+      this._refuse(offered, refusal);
       return { cancel: () => undefined };
     }
     return {
       cancel: () => {
-        this._cancel(waiting);
+        this._cancel(offered);
       },
     };
   }
 
   /** Lets a call through unless it has to wait for other suspects; returns why it is refused. */
-  private _takeSuspect(waiting: Waiting): GateRefusal | undefined {
-    const decision = this._suspects.offer(waiting);
+  private _offerToSuspectGate(offered: OfferedCall): GateRefusal | undefined {
+    const decision = this._suspects.offer(offered);
     switch (decision.kind) {
       case 'pass':
-        this._letIn(waiting);
+        this._offerToSlotGate(offered);
         return undefined;
       case 'wait':
-        this._expireLater();
+        this._scheduleExpiry();
         return undefined;
       case 'refused':
         return decision.reason;
@@ -279,69 +279,69 @@
   }
 
   /** Hands a call to the gate, which starts it, lets it wait for a slot, or refuses it. */
-  private _letIn(waiting: Waiting): void {
-    this._level.recordArrival(waiting.call.waitMs);
-    const decision = this._gate.offer(waiting);
+  private _offerToSlotGate(offered: OfferedCall): void {
+    this._level.recordArrival(offered.call.waitMs);
+    const decision = this._gate.offer(offered);
     switch (decision.kind) {
       case 'started':
-        this._start(waiting);
+        this._start(offered);
         break;
       case 'refused':
-        this._noteRefused(decision.reason);
-        this._refuse(waiting, decision.reason);
+        this._recordRefusal(decision.reason);
+        this._refuse(offered, decision.reason);
         break;
       case 'queued':
-        this._expireLater();
+        this._scheduleExpiry();
         break;
     }
   }
 
-  private _refuse(waiting: Waiting, reason: GateRefusal): void {
-    const { call, done } = waiting;
+  private _refuse(offered: OfferedCall, reason: GateRefusal): void {
+    const { call, done } = offered;
     done(this._refusal(reason), this.report(call.route));
-    this._suspects.leave(waiting);
+    this._suspects.leave(offered);
   }
 
   private _closeGate(reason?: GateRefusal): void {
     this._gate.close(reason);
-    for (const waiting of this._suspects.drain()) {
-      this._refuse(waiting, reason ?? 'not_accepting');
+    for (const offered of this._suspects.drain()) {
+      this._refuse(offered, reason ?? 'not_accepting');
     }
   }
 
   /** A call that could not be started for want of room is work beyond what the target can do. */
-  private _noteRefused(reason: NotRunReason): void {
+  private _recordRefusal(reason: NotRunReason): void {
     if (isCapacityRefusal(reason)) {
       this._level.recordRefusal(this._gate.meanMs / this._gate.limit);
     }
   }
 
-  private _expireLater(): void {
+  private _scheduleExpiry(): void {
     this._expiryTimer ??= setTimeout(() => {
       this._expiryTimer = undefined;
       this._gate.expire();
       this._suspects.expire(monotonicMs());
       if (this._gate.queued + this._suspects.waiting > 0) {
-        this._expireLater();
+        this._scheduleExpiry();
       }
-    }, kExpireMs);
+    }, kExpiryIntervalMs);
   }
 
-  private _heightOf(route: string): number | undefined {
+  private _longestChainOf(route: string): number | undefined {
     const { chains } = this._deps;
     return chains.isEstimated(route) ? chains.report(route, 0).height : undefined;
   }
 
-  private _refusalAtOnce(call: PeerCall): GateRefusal | undefined {
+  private _immediateRefusal(call: PeerCall): GateRefusal | undefined {
     const { service, instance } = this._life.known;
     if (call.service !== service || call.instance !== instance) {
       return 'not_accepting';
     }
-    if (call.workspace && !this._deps.keyHolds(call.workspace)) {
+    if (call.workspace && !this._deps.isKeyValid(call.workspace)) {
       return 'key_not_valid';
     }
     if (!call.repeat) {
-      this._budget.earn(this._heightOf(call.route));
+      this._budget.earn(this._longestChainOf(call.route));
       return undefined;
     }
     if (!this._budget.spend(this._deps.targets(service), call.inner)) {
@@ -351,35 +351,35 @@
     return undefined;
   }
 
-  private _apply(): void {
-    this._openOrClose();
+  private _applyState(): void {
+    this._updateGate();
     this._deps.onChange();
   }
 
-  private _openOrClose(): void {
+  private _updateGate(): void {
     const { state, instance, address, slots } = this._life.known;
-    if (state !== 'ready' || this._held || this._stopping) {
+    if (state !== 'ready' || this._recovering || this._stopping) {
       this._closeGate();
       return;
     }
     const reach = this._reach;
     this._client ??= new TargetClient(address, instance, this._connections, this._deps.names, {
       onReach: (evidence) => {
-        this._takeReach(reach, evidence);
+        this._handleReach(reach, evidence);
       },
       onCrash: (calls) => {
-        this._takeCrash(calls);
+        this._handleCrash(calls);
       },
     });
     if (this._reach.reachable) {
-      this._gate.open(slots, this._warmFrom);
+      this._gate.open(slots, this._warmAt);
     } else {
       this._closeGate('unreachable');
     }
   }
 
   /** Others should know at once when the target takes no connections, or does again; a late report of an earlier target is none. */
-  private _takeReach(reach: TargetReach, evidence: ReachEvidence): void {
+  private _handleReach(reach: TargetReach, evidence: ReachEvidence): void {
     if (reach !== this._reach || !reach.note(evidence, monotonicMs())) {
       return;
     }
@@ -388,18 +388,18 @@
       instance: this._life.known.instance,
       evidence,
     });
-    this._apply();
+    this._applyState();
   }
 
   /** A target that was to leave has ended as it said; one that was ready has crashed, with all that ran on it. */
-  private _takeCrash(calls: readonly PeerCall[]): void {
+  private _handleCrash(calls: readonly PeerCall[]): void {
     const { address, instance, born, state } = this._life.known;
     if (state !== 'ready') {
       return;
     }
     const crash = { id: hashText(`${address} ${instance} ${born}`), at: wallMs() };
-    if (crash.id !== this._lastCrash) {
-      this._lastCrash = crash.id;
+    if (crash.id !== this._lastCrashId) {
+      this._lastCrashId = crash.id;
       this._deps.metrics.targetCrashed();
     }
     this._deps.events.warn('target', 'The target ended while requests ran on it.', {
@@ -407,7 +407,7 @@
       born,
       running: calls.length,
       requests: calls
-        .slice(0, kNamedRequests)
+        .slice(0, kMaxLoggedRequests)
         .map((call) => ({ req: call.requestId, route: call.route, kind: fingerprintOf(identityOf(call)) })),
     });
     this._suspects.crashed(
@@ -416,54 +416,54 @@
     );
   }
 
-  private _start(waiting: Waiting): void {
+  private _start(offered: OfferedCall): void {
     const now = monotonicMs();
-    waiting.startedAt = now;
-    const remaining = waiting.expiresAt - now;
+    offered.startedAt = now;
+    const remaining = offered.expiresAt - now;
     const client = this._client;
-    const { workspace } = waiting.call;
-    if (now > waiting.validUntil || (workspace && !this._deps.keyHolds(workspace))) {
-      this._gate.callEnded(waiting.id);
-      this._refuse(waiting, 'key_not_valid');
+    const { workspace } = offered.call;
+    if (now > offered.validUntil || (workspace && !this._deps.isKeyValid(workspace))) {
+      this._gate.callEnded(offered.id);
+      this._refuse(offered, 'key_not_valid');
       return;
     }
     if (!client || remaining <= 0) {
-      this._gate.callEnded(waiting.id);
-      this._noteRefused('wait_too_long');
-      this._refuse(waiting, 'wait_too_long');
+      this._gate.callEnded(offered.id);
+      this._recordRefusal('wait_too_long');
+      this._refuse(offered, 'wait_too_long');
       return;
     }
-    this._deps.chains.recordRun(waiting.call.route);
-    this._running.set(waiting.call, waiting);
-    waiting.run = client.run(waiting.call, remaining, (end) => {
-      this._ended(waiting, end);
+    this._deps.chains.recordRun(offered.call.route);
+    this._running.set(offered.call, offered);
+    offered.run = client.run(offered.call, remaining, (end) => {
+      this._handleResult(offered, end);
     });
   }
 
-  private _ended(waiting: Waiting, { end, answered }: RunEnd): void {
-    this._running.delete(waiting.call);
+  private _handleResult(offered: OfferedCall, { end, answered }: RunEnd): void {
+    this._running.delete(offered.call);
     // A failure may have come before the work that ends the target.
     if (answered && end.kind === 'answered' && end.answer.status < 500) {
-      this._suspects.completed(waiting);
+      this._suspects.completed(offered);
     }
     const ran = answered && end.kind === 'answered' && end.answer.status < 400;
-    const tookMs = monotonicMs() - waiting.startedAt;
+    const tookMs = monotonicMs() - offered.startedAt;
     if (end.kind === 'not_run' && isCapacityRefusal(end.reason)) {
-      this._noteRefused(end.reason);
+      this._recordRefusal(end.reason);
     } else {
       this._level.recordWork(tookMs / this._gate.limit);
     }
-    this._gate.callEnded(waiting.id, ran ? tookMs : undefined);
-    waiting.done(end, this.report(waiting.call.route));
-    this._suspects.leave(waiting);
+    this._gate.callEnded(offered.id, ran ? tookMs : undefined);
+    offered.done(end, this.report(offered.call.route));
+    this._suspects.leave(offered);
   }
 
-  private _cancel(waiting: Waiting): void {
-    if (this._gate.withdraw(waiting) || this._suspects.withdraw(waiting)) {
-      waiting.done({ kind: 'not_run', reason: 'cancelled', retryAfterMs: 0 }, this.report(waiting.call.route));
-      this._suspects.leave(waiting);
-    } else if (waiting.call.idempotent) {
-      waiting.run?.abort();
+  private _cancel(offered: OfferedCall): void {
+    if (this._gate.withdraw(offered) || this._suspects.withdraw(offered)) {
+      offered.done({ kind: 'not_run', reason: 'cancelled', retryAfterMs: 0 }, this.report(offered.call.route));
+      this._suspects.leave(offered);
+    } else if (offered.call.idempotent) {
+      offered.run?.abort();
     }
   }
 
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -33,7 +33,7 @@
 import { type CallPlace, MeshMetrics, type MetricsView } from './meshMetrics.js';
 import { RecordSync } from './records/recordSync.js';
 import { RequestEntry } from './calls/requestEntry.js';
-import { logSuspectEvent } from './calls/suspectLines.js';
+import { logSuspectEvent } from './calls/logSuspectEvent.js';
 import { type OfferDone, type OfferHandle, TargetGate } from './calls/targetGate.js';
 import { Workspaces, type WorkspacesDeps } from './workspaces/workspaces.js';
 
@@ -133,9 +133,9 @@
       address: _settings.target.address,
       maxConnections: (service) => this._configs.maxConnections(service) ?? kAssumedConnections,
       targets: (service) => this._directory.ready(service).length,
-      isTrialTarget: (fingerprint, service) => trialTarget(fingerprint, this._directory.ready(service), kNoHosts)?.host === _settings.id,
+      isProbeTarget: (fingerprint, service) => trialTarget(fingerprint, this._directory.ready(service), kNoHosts)?.host === _settings.id,
       chargeMs: (route) => this._placement.chargeMs(route),
-      keyHolds: (workspace) => this._workspaces.keyHolds(workspace),
+      isKeyValid: (workspace) => this._workspaces.keyHolds(workspace),
       onChange: () => {
         this._records.tell();
       },
@@ -222,7 +222,7 @@
     const latest = startedAt + this._settings.stopSeconds * 1_000 - kStopMarginMs;
     // The target goes on meanwhile: closing its gate at once would leave its slots empty while callers turn away.
     await pause(kTurnAwayMs);
-    const goodbye = this._gate.view.state === 'gone' ? this._platform.records.erase(this._settings.id) : undefined;
+    const goodbye = this._gate.advertisedState.state === 'gone' ? this._platform.records.erase(this._settings.id) : undefined;
     this._gate.stop();
     // Runs of the own target may still call out through this daemon, on new connections too.
     await waitUntil(monotonicMs(), startedAt + kTurnAwayMs * 2, () => this._gate.pending === 0);
@@ -405,14 +405,14 @@
       unreachable: (service) => this._directory.unreachable(service),
       choose: (candidates, excluded, route) => this._placement.choose(candidates, excluded, route),
       offer: (target, call, done) => this._offer(target, call, done),
-      sent: (target, first) => {
+      onOfferSent: (target, first) => {
         this._placement.sent(target.host);
         this._metrics.placed(target.service, this._placeOf(target), !first);
       },
-      ended: (host, route, end) => {
+      onOfferResult: (host, route, end) => {
         this._placement.ended(host, route, end);
       },
-      avoid: (host) => {
+      deprioritize: (host) => {
         this._placement.avoid(host);
       },
     };
--- a/packages/mesh/src/app/records/hostRecords.ts
+++ b/packages/mesh/src/app/records/hostRecords.ts
@@ -73,7 +73,7 @@
   /** The own record. */
   get own(): TargetRecord {
     const { id, zone, listen, target } = this._deps.settings;
-    const { instance, born, service, state, slots } = this._deps.gate().view;
+    const { instance, born, service, state, slots } = this._deps.gate().advertisedState;
     return {
       host: id,
       zone,
@@ -238,7 +238,7 @@
       return;
     }
     this._predecessorAt = Math.max(this._predecessorAt ?? 0, record.epoch);
-    this._deps.gate().remember(record);
+    this._deps.gate().restore(record);
     this._takeLearned(record);
     this._deps.suspects.recall(record.suspects ?? []);
     if (record.epoch > this._epoch) {
@@ -273,7 +273,7 @@
       this._recalled = true;
       clearTimeout(this._recallTimer);
       this._deps.events.notable('start', `Heard from ${from} what is known of this host.`, { hosts: this._deps.directory.all().length });
-      this._deps.gate().release();
+      this._deps.gate().endRecovery();
       if (from !== 'nobody') {
         this._deps.onRecalled();
       }
--- a/packages/mesh/src/client/targetClient.ts
+++ b/packages/mesh/src/client/targetClient.ts
@@ -9,7 +9,7 @@
  */
 
 import { type CallEnd, monotonicMs, type ReachEvidence } from '@gentiandrum/core';
-import { Deadlines, type Due } from '../app/calls/deadlines.js';
+import { Deadlines, type Expirable } from '../app/calls/deadlines.js';
 import { HeaderReader } from '../http/headerReader.js';
 import { requestBytes } from '../http/messageText.js';
 import type { HeaderNames } from '../ports.js';
@@ -231,7 +231,7 @@
 }
 
 /** One request on a connection to the target. */
-class TargetRun implements Run, Due {
+class TargetRun implements Run, Expirable {
   aborted = false;
   /** The connection may be another run's by now. */
   ended = false;
--- a/packages/mesh/src/server/callServer.ts
+++ b/packages/mesh/src/server/callServer.ts
@@ -9,7 +9,7 @@
 import { type EntryEnd, monotonicMs, readCredentials, type RequestWorkspace } from '@gentiandrum/core';
 import type { MeshConfig } from '@gentiandrum/protocol';
 import { listenOn } from '../app/addresses.js';
-import { CallExchange, type ExchangeDeps, type ExchangeEnd } from '../app/calls/callExchange.js';
+import { CallExchange, type ExchangeDeps, type ExchangeResult } from '../app/calls/callExchange.js';
 import type { EventFields, EventLog } from '../app/eventLog.js';
 import type { RequestOutcome } from '../app/latencyMetric.js';
 import type { MeshMetrics } from '../app/meshMetrics.js';
@@ -121,7 +121,7 @@
     if (!req.begun) {
       req.onLeave = () => {
         this._inFlight--;
-        entering.leave();
+        entering.cancel();
       };
     }
   }
@@ -195,12 +195,12 @@
     exchange.start();
   }
 
-  private _noteWorkspace(workspace: RequestWorkspace | undefined, end: ExchangeEnd, outcome: RequestOutcome): void {
+  private _noteWorkspace(workspace: RequestWorkspace | undefined, end: ExchangeResult, outcome: RequestOutcome): void {
     if (workspace) {
       this._deps.metrics.workspaceEnded(workspace.name, outcome);
     }
     if (end.kind === 'not_run') {
-      this._deps.entry.notRun(workspace);
+      this._deps.entry.returnToken(workspace);
     }
   }
 
@@ -212,7 +212,7 @@
     return [...kept, ...credentials.flatMap((value) => [kCredentialsHeader, value])];
   }
 
-  private _end(req: CallerRequest, end: ExchangeEnd): void {
+  private _end(req: CallerRequest, end: ExchangeResult): void {
     switch (end.kind) {
       case 'answered':
         this._send(req, end.answer.status, this._withId(end.answer.headers, req.headers.requestId), end.answer.body);
@@ -233,7 +233,7 @@
     return requestId === '' ? headers : [...headers, this._deps.names.requestId, requestId];
   }
 
-  private _logEnd(exchange: CallExchange, route: string, end: ExchangeEnd, requestId: string): void {
+  private _logEnd(exchange: CallExchange, route: string, end: ExchangeResult, requestId: string): void {
     const fields = (): EventFields => ({
       req: requestId,
       route,
--- a/packages/mesh/src/server/exchangeOutcome.ts
+++ b/packages/mesh/src/server/exchangeOutcome.ts
@@ -5,11 +5,11 @@
 
 /** How the end of an exchange is counted. */
 
-import type { ExchangeEnd } from '../app/calls/callExchange.js';
+import type { ExchangeResult } from '../app/calls/callExchange.js';
 import type { RequestOutcome } from '../app/latencyMetric.js';
 
 /** Outcome and reason as metrics count them; what follows a colon in a reason tells of the single case. */
-export function outcomeOf(end: ExchangeEnd): { outcome: RequestOutcome; reason: string } {
+export function outcomeOf(end: ExchangeResult): { outcome: RequestOutcome; reason: string } {
   switch (end.kind) {
     case 'answered':
       return { outcome: end.answer.status < 500 ? 'answered' : 'target_failed', reason: 'none' };
--- a/tests/mesh/callExchange.spec.ts
+++ b/tests/mesh/callExchange.spec.ts
@@ -4,7 +4,7 @@
  */
 
 import { type CallEnd, ChainModel, type GateReport, type TargetRecord } from '@gentiandrum/core';
-import { CallExchange, Deadlines, type ExchangeDeps, type ExchangeEnd, type RoutedRequest } from '@gentiandrum/mesh';
+import { CallExchange, Deadlines, type ExchangeDeps, type ExchangeResult, type RoutedRequest } from '@gentiandrum/mesh';
 import type { Route } from '@gentiandrum/protocol';
 import { describe, it } from '../support/describe.js';
 
@@ -26,9 +26,9 @@
   return { host, zone: 'z1', peers: '', service: 'reads', instance: `i-${host}`, state: 'ready', slots: 16, epoch: 1, revision: 1 };
 }
 
-function run(ends: CallEnd[]): { exchange: CallExchange; end: ExchangeEnd | undefined } {
+function run(ends: CallEnd[]): { exchange: CallExchange; end: ExchangeResult | undefined } {
   const targets = ends.map((_, i) => target(`h${i + 1}`));
-  const result: { end: ExchangeEnd | undefined } = { end: undefined };
+  const result: { end: ExchangeResult | undefined } = { end: undefined };
   let next = 0;
   const deps: ExchangeDeps = {
     candidates: () => targets,
@@ -41,9 +41,9 @@
     suspects: { assess: () => undefined, quietMs: () => 0 },
     unreachable: () => 0,
     deadlines: new Deadlines(),
-    sent: () => undefined,
-    ended: () => undefined,
-    avoid: () => undefined,
+    onOfferSent: () => undefined,
+    onOfferResult: () => undefined,
+    deprioritize: () => undefined,
   };
   const req: RoutedRequest = {
     route: kRoute,
