--- a/packages/mesh/src/app/calls/callExchange.ts
+++ b/packages/mesh/src/app/calls/callExchange.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * One request of a caller, from its last byte to its final answer: drives the routing procedure, and ends it at the deadline
- * or when the caller is gone.
+ * Forwards one caller request: runs the routing procedure from the last byte of the request to the final response, and ends it at
+ * the deadline or when the caller disconnects.
  */
 
 import {
@@ -33,35 +33,36 @@
 import { identityOf } from './requestIdentity.js';
 import type { OfferDone, OfferHandle } from './targetGate.js';
 
-/** Time that an answer needs on its way back, in milliseconds; an offer with less left is not made. */
+/** Minimum time left before the deadline to make an offer, in milliseconds; covers the way back of the response. */
 const kMinRemainingMs = 5;
-/** Share of the latency target that a caller's own request may wait at a gate before it is refused instead. */
+/** Share of the latency target that an external request may spend in a gate's queue before the gate refuses it. */
 const kExternalWaitShare = 0.2;
-/** The same for a call of a target: refused, it would cost the work above it, so it may wait longer. */
+/** The same share for an internal call; higher, because a refusal discards the work of all its callers. */
 const kInternalWaitShare = 0.5;
 
-/** Share of the time that is left for which a suspect may wait at a gate. */
+/** Share of the remaining time that a suspect may wait at a gate. */
 const kSuspectWaitShare = 0.5;
 
 const kNoFailedOffers: readonly FailedOffer[] = [];
 
-/** What an exchange uses of its daemon. */
+/** Daemon services that an exchange depends on. */
 export interface ExchangeDeps {
   candidates(service: string): readonly TargetRecord[];
-  /** Targets of a service that take no connections now. */
+  /** Number of targets of a service that currently accept no connections. */
   unreachable(service: string): number;
   choose(candidates: readonly TargetRecord[], excluded: ReadonlySet<string>, route: PlacedRoute): TargetRecord | undefined;
   offer(target: TargetRecord, call: PeerCall, done: OfferDone): OfferHandle;
   chains: ChainModel;
   suspects: Pick<Suspects, 'assess' | 'quietMs'>;
   deadlines: Deadlines;
+  /** Called before each offer; `first` for the first one of the request. */
   onOfferSent(target: TargetRecord, first: boolean): void;
   onOfferResult(host: string, route: string, end: PlacedEnd): void;
-  /** A host's gate has no target to offer: others come first for a while. */
+  /** Called when a host's gate has no target to run the call; routing then prefers other hosts for a while. */
   deprioritize(host: string): void;
 }
 
-/** A request as the server hands it over. */
+/** A request as received from the server. */
 export interface RoutedRequest {
   route: Route;
   service: string;
@@ -73,13 +74,13 @@
   body: Buffer;
   /** Rank under overload, 0 the most urgent. */
   rank: number;
-  /** Whose request it is, and until when its key may be relied on, on the monotonic clock. */
+  /** Workspace of the request; `validUntil` is the monotonic time until which its key may be trusted. */
   workspace: Pick<RequestWorkspace, 'name' | 'keyHash' | 'version' | 'validUntil'> | undefined;
-  /** Time at which nobody waits any more, on the monotonic clock. */
+  /** Deadline of the request, on the monotonic clock. */
   deadline: number;
 }
 
-/** An offer that brought no success: where it went, how it ended, and the load that the gate there reported with its end. */
+/** An unsuccessful offer: its host, its result, and the load that the gate reported with the result. */
 export interface FailedOffer {
   host: string;
   end: string;
@@ -89,17 +90,17 @@
   limit: number;
 }
 
-/** Final answer, or that time ran out before one came. */
+/** Result of the routing procedure, or `timed_out` when the deadline passed before there was one. */
 export type ExchangeResult = RouteEnd | { kind: 'timed_out' };
 
-/** One request under way. */
+/** A request in flight. */
 export class CallExchange implements Expirable {
   private readonly _procedure: Generator<Offer, RouteEnd, CallEnd>;
   private readonly _receivedAt = monotonicMs();
   private _handle: OfferHandle | undefined;
   private _offers = 0;
   private _failed: FailedOffer[] | undefined;
-  /** What is held against the request's kind, as of the latest offer. */
+  /** Quarantine assessment of the request's fingerprint, as of the latest offer. */
   private _assessment: Assessment | undefined;
   private _target = '';
   private _finished = false;
@@ -118,44 +119,44 @@
     });
   }
 
-  /** Offers made so far. */
+  /** Number of offers made so far. */
   get offers(): number {
     return this._offers;
   }
 
-  /** Host of the target that the latest offer went to; empty before the first. */
+  /** Host of the target that received the latest offer; empty before the first offer. */
   get target(): string {
     return this._target;
   }
 
-  /** Offers that brought no success, in their order. */
+  /** Unsuccessful offers, in order. */
   get failed(): readonly FailedOffer[] {
     return this._failed ?? kNoFailedOffers;
   }
 
-  /** Time since the request was taken, in milliseconds. */
+  /** Time since the request was received, in milliseconds. */
   get ageMs(): number {
     return monotonicMs() - this._receivedAt;
   }
 
-  /** Time at which nobody waits any more, on the monotonic clock. */
+  /** Deadline of the request, on the monotonic clock. */
   get deadline(): number {
     return this._req.deadline;
   }
 
-  /** Begins. */
+  /** Makes the first offer. */
   start(): void {
     this._deps.deadlines.add(this);
     this._advance(this._procedure.next());
   }
 
-  /** The caller is gone: nobody wants the answer. */
+  /** Ends the exchange because the caller has disconnected, and cancels the current offer. */
   abandon(): void {
     this._finish();
     this._handle?.cancel();
   }
 
-  /** Looked at once for each offer: what the offer needs of it beyond the verdict is kept until it is made. */
+  /** Assesses the request once per offer; the assessment is kept for the target choice and the call. */
   private _verdict(): Verdict {
     this._assessment = this._deps.suspects.assess(() => identityOf(this._req));
     return this._assessment?.verdict ?? 'clear';
@@ -167,7 +168,7 @@
     return sparesTarget(targets, this._deps.suspects.quietMs(this._assessment?.suspicion.fingerprint ?? ''));
   }
 
-  /** A suspect goes where all daemons send its kind, so that its copies meet at one gate. */
+  /** All daemons send suspects with the same fingerprint to the same target, so that one gate serializes them. */
   private _choose(excluded: ReadonlySet<string>): TargetRecord | undefined {
     const { route, service } = this._req;
     const candidates = this._deps.candidates(service);
@@ -216,7 +217,8 @@
     const answered = end.kind === 'answered';
     this._recordFailure(target, end, report, tookMs);
     const failed = end.kind === 'lost' ? end.reason !== 'cancelled' : answered && end.answer.status >= 500;
-    // A gate that takes nothing, or is another host's by now, says nothing of the target that was meant, and must not look empty.
+    // A gate that refuses everything, or belongs to another host by now, reports no load of the intended target. Its report must not
+    // make the target look idle.
     const unsuccessful = isVain(end);
     const load = report.limit > 0 && !unsuccessful ? report : undefined;
     if (unsuccessful) {
@@ -249,7 +251,7 @@
     return {
       route: route.name,
       service: target.service,
-      // A suspect waits for the others of its kind: late is better than not at all.
+      // A suspect has to wait for other suspects with the same fingerprint, so it gets a longer wait.
       waitMs: suspect
         ? remainingMs * kSuspectWaitShare
         : Math.max(0, route.latencyTargetMs * (internal ? kInternalWaitShare : kExternalWaitShare) - this.ageMs),
@@ -275,7 +277,7 @@
     };
   }
 
-  /** The target ends its work by itself at its deadline; only what has not started is withdrawn. */
+  /** Cancels the current offer of an idempotent request. Other calls stay at the gate until their own deadline. */
   expire(): void {
     const handle = this._handle;
     this._finish();
--- a/packages/mesh/src/app/calls/deadlines.ts
+++ b/packages/mesh/src/app/calls/deadlines.ts
@@ -3,26 +3,23 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * Deadlines of everything under way, looked at together: a timer of the runtime for each request costs more than the look, as
- * nearly all requests end before it.
- */
+/** Checks the deadlines of all requests in flight periodically, which is cheaper than one timer per request. */
 
 import { monotonicMs } from '@gentiandrum/core';
 
-/** Something that ends at a time. */
+/** An operation with a deadline. */
 export interface Expirable {
   /** On the monotonic clock. */
   readonly deadline: number;
-  /** Called once, when the deadline has passed. */
+  /** Called once, after the deadline has passed. */
   expire(): void;
 }
 
-/** The deadlines of one daemon. */
+/** Deadlines of the operations in flight at one daemon. */
 export class Deadlines {
   private readonly _pending = new Set<Expirable>();
 
-  /** Expires `due` at the first look after its deadline, unless it is deleted before. */
+  /** Expires `item` at the first check after its deadline, unless it is deleted before. */
   add(item: Expirable): void {
     this._pending.add(item);
   }
@@ -31,7 +28,7 @@
     this._pending.delete(item);
   }
 
-  /** Expires what is due; called a few times a second. */
+  /** Expires overdue items; called several times per second. */
   check(): void {
     const now = monotonicMs();
     for (const item of this._pending) {
--- a/packages/mesh/src/app/calls/logSuspectEvent.ts
+++ b/packages/mesh/src/app/calls/logSuspectEvent.ts
@@ -3,17 +3,17 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Log lines of what becomes of suspected kinds of requests. */
+/** Logs quarantine events: request fingerprints that are quarantined, cleared or released. */
 
 import { crashesOf, type SuspectEvent } from '@gentiandrum/core';
 import type { EventLog } from '../eventLog.js';
 
-/** Writes the line of an event. */
+/** Logs one event. */
 export function logSuspectEvent(events: EventLog, event: SuspectEvent): void {
   switch (event.kind) {
     case 'quarantined': {
       const { fingerprint, route, marks } = event.suspicion;
-      events.warn('quarantine', 'A kind of request is held back: targets ended by it.', {
+      events.warn('quarantine', 'Request fingerprint quarantined: targets crashed while such requests were in flight.', {
         kind: fingerprint,
         route,
         ends: crashesOf(event.suspicion),
@@ -23,11 +23,11 @@
     }
     case 'cleared': {
       const { fingerprint, before } = event;
-      events.notable('quarantine', 'A request of a suspected kind ran to its end.', { kind: fingerprint, before });
+      events.notable('quarantine', 'Request fingerprint cleared: a suspected request completed.', { kind: fingerprint, before });
       return;
     }
     case 'released':
-      events.warn('quarantine', 'A kind of request was released.', { kind: event.fingerprint });
+      events.warn('quarantine', 'Request fingerprint released from quarantine.', { kind: event.fingerprint });
       return;
   }
 }
--- a/packages/mesh/src/app/calls/requestEntry.ts
+++ b/packages/mesh/src/app/calls/requestEntry.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Takes requests through the procedure that lets them in or refuses them, and carries its questions to the owners of quotas. */
+/** Admits or rejects incoming requests, and forwards token requests to the owners of quotas. */
 
 import {
   type AdmitSurroundings,
@@ -21,22 +21,22 @@
 import type { Route } from '@gentiandrum/protocol';
 import type { QuotaService } from '../workspaces/quotaService.js';
 
-/** What the entry uses of its daemon. */
+/** Daemon services that the request entry depends on. */
 export interface RequestEntryDeps {
   tables(): RoutingTables | undefined;
-  /** Until when the configuration may be relied on for keys, on the monotonic clock. */
+  /** Time until which keys may be checked against the current configuration, on the monotonic clock. */
   validUntil(): number;
   quotas: QuotaService;
   chains: ChainModel;
 }
 
-/** A request on its way in. */
+/** A request whose admission is pending. */
 export interface PendingEntry {
-  /** The caller is gone: nobody wants the decision any more. */
+  /** Discards the decision, because the caller has disconnected. */
   cancel(): void;
 }
 
-/** Entry of one daemon. */
+/** Admission of external requests at one daemon. */
 export class RequestEntry {
   private readonly _admission = new RootAdmission();
   private readonly _environment: AdmitSurroundings;
@@ -51,7 +51,7 @@
     };
   }
 
-  /** Decides on a request; `done` may be called before this returns, and is not called once the caller has left. */
+  /** Decides whether to admit a request. `done` may be called before this returns, and is not called after cancellation. */
   enter(req: ArrivedRequest, done: (end: EntryEnd) => void): PendingEntry {
     const procedure = admitRequest(req, this._environment);
     const progress = { cancelled: false };
@@ -78,14 +78,14 @@
     };
   }
 
-  /** The request of a workspace has not run: its token serves another one. */
+  /** Returns the quota token of a request that has not run. */
   returnToken(workspace: RequestWorkspace | undefined): void {
     if (workspace?.token) {
       this._deps.quotas.giveBack(workspace.name, workspace.token.host);
     }
   }
 
-  /** Only what is known to come from people is turned away here. */
+  /** Sheds external requests only. */
   private _shouldShed(route: Route, rank: number, keyed: boolean): boolean {
     const { chains } = this._deps;
     const external = keyed || chains.isInternal(route.name) === false;
--- a/packages/mesh/src/app/calls/requestIdentity.ts
+++ b/packages/mesh/src/app/calls/requestIdentity.ts
@@ -3,17 +3,17 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What a target is asked to do, as requests and calls carry it. */
+/** Extracts the parts of a request that determine its fingerprint. */
 
 import type { RequestIdentity } from '@gentiandrum/core';
 
-/** What requests and calls have in common. */
+/** Fields that caller requests and peer calls have in common. */
 export interface IdentifiedRequest extends Omit<RequestIdentity, 'host'> {
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: readonly string[];
 }
 
-/** What tells a request's kind. */
+/** Returns the parts of a request that determine its fingerprint. */
 export function identityOf({ method, path, body, headers }: IdentifiedRequest): RequestIdentity {
   return { method, host: hostOf(headers), path, body };
 }
--- a/packages/mesh/src/app/calls/targetGate.ts
+++ b/packages/mesh/src/app/calls/targetGate.ts
@@ -3,9 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * The target on this host: follows what it announces, and is the only way to it for all daemons.
- */
+/** Gate of the target on this host: tracks its announcements, and passes the calls of all daemons to it. */
 
 import {
   type Announcement,
@@ -40,39 +38,39 @@
 import { identityOf } from './requestIdentity.js';
 import type { MeshMetrics, MetricsView } from '../meshMetrics.js';
 
-/** How often calls that waited too long are looked for, in milliseconds: a tenth of the tightest latency targets seen. */
+/** Interval between checks for calls that have waited too long, in milliseconds. */
 const kExpiryIntervalMs = 10;
-/** Longest time after which a refused caller may come back, in milliseconds. */
+/** Maximum retry delay sent with a refusal, in milliseconds. */
 const kMaxRetryAfterMs = 2_000;
 
-/** Requests that one line about the end of a target names at most. */
+/** Maximum number of requests listed in the log line about a crash. */
 const kMaxLoggedRequests = 60;
 
-/** Called once with the end of an offered call. */
+/** Called once, with the result of an offered call. */
 export type OfferDone = (end: CallEnd, report: GateReport) => void;
 
-/** An offered call that has not ended. */
+/** An offered call that has not completed. */
 export interface OfferHandle {
-  /** Nobody waits for the call any more. It is withdrawn when it has not started, and broken off when it may run again. */
+  /** Withdraws the call if it has not started; aborts it if it is running and idempotent. */
   cancel(): void;
 }
 
-/** What the gate uses of its daemon. */
+/** Daemon services that the gate depends on. */
 export interface TargetGateDeps {
   names: HeaderNames;
   bound: RepeatBound;
-  /** Address of the target, as the settings tell it. */
+  /** Address of the target in the settings. */
   address: string;
   maxConnections(service: string): number;
-  /** Targets of the service, this one included. */
+  /** Number of targets of the service, including this one. */
   targets(service: string): number;
-  /** Whether a kind of request to a service is tried on this host. */
+  /** Whether this host's target runs the probes of a fingerprint for a service. */
   isProbeTarget(fingerprint: string, service: string): boolean;
-  /** Mean charge of calls on a route that begin on this host, in milliseconds. */
+  /** Mean charge of the calls on a route that this host sends, in milliseconds. */
   chargeMs(route: string): number;
-  /** Whether a key is still its workspace's, as far as this daemon knows. */
+  /** Whether a key still belongs to its workspace in the configuration of this daemon. */
   isKeyValid(workspace: CallWorkspace): boolean;
-  /** Called after each change of the target's state. */
+  /** Called after each change of the advertised state. */
   onChange(): void;
   chains: ChainModel;
   suspects: Suspects;
@@ -83,7 +81,7 @@
 interface OfferedCall extends GatedCall, SuspectCall {
   readonly call: PeerCall;
   expiresAt: number;
-  /** Until when the key of its workspace may be relied on. */
+  /** Time until which the key of the workspace may be trusted, on the monotonic clock. */
   validUntil: number;
   run: Run | undefined;
   startedAt: number;
@@ -95,21 +93,22 @@
   private readonly _gate: SlotGate<OfferedCall>;
   private readonly _budget: RepeatBudget;
   private readonly _suspects: SuspectGate<OfferedCall>;
-  /** End that was counted last. */
+  /** Id of the latest crash that was counted; a crash may be reported more than once. */
   private _lastCrashId: number | undefined;
   private readonly _running = new Map<PeerCall, OfferedCall>();
   private _client: TargetClient | undefined;
   private readonly _life: TargetLife;
   private _reach = new TargetReach();
-  /** Connections that the target accepts, as known now. */
+  /** Current connection limit of the target. */
   private readonly _connections = (): number => this._deps.maxConnections(this._life.known.service);
-  /** When the target is warm after its start, as it last announced, on the monotonic clock. */
+  /** Time at which the target is warm after its start, from its latest announcement, on the monotonic clock. */
   private _warmAt = 0;
+  /** Whether the state of the target that other daemons know is still being fetched. */
   private _recovering = true;
   private _stopping = false;
   private _nextId = 1;
   private readonly _level = new GateLevel();
-  /** Runs only while calls wait: an idle daemon should not wake up for nothing. */
+  /** Set only while calls wait, so that an idle daemon does not wake up. */
   private _expiryTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly _deps: TargetGateDeps) {
@@ -138,7 +137,7 @@
     );
   }
 
-  /** State of the target as other daemons should see it. */
+  /** State of the target as published to other daemons. */
   get advertisedState(): Pick<TargetRecord, 'instance' | 'born' | 'service' | 'state' | 'slots'> {
     const { instance, born, service, state, slots } = this._life.known;
     if (state !== 'ready') {
@@ -148,13 +147,13 @@
     return { instance, born, service, state: this._recovering || this._stopping ? 'unknown' : usable, slots };
   }
 
-  /** Load and level, for the metrics. */
+  /** Load and admission level, for metrics. */
   get state(): MetricsView['gate'] {
     const { inFlight, queued, limit, meanMs } = this._gate;
     return { inFlight, queued, limit, meanMs, level: this._level.current };
   }
 
-  /** What callers of a route should know as of now. */
+  /** Current load and chain report for the callers of a route. */
   report(route: string): GateReport {
     const { inFlight, queued, limit, meanMs } = this._gate;
     const { level, inner, height } = this._deps.chains.report(route, this._level.current);
@@ -162,12 +161,12 @@
     return { inFlight, queued, limit, meanMs, level, inner, height, chargeMs };
   }
 
-  /** Calls that run or wait. */
+  /** Number of running and waiting calls. */
   get pending(): number {
     return this._gate.inFlight + this._gate.queued + this._suspects.waiting;
   }
 
-  /** Takes an announcement of the target; true when it changed anything. */
+  /** Applies an announcement of the target; returns whether the advertised state changed. */
   announce(announcement: Announcement): boolean {
     const before = this._life.known;
     const changed = this._life.announce(announcement);
@@ -182,7 +181,7 @@
       this._reach.note('heartbeat', monotonicMs());
     }
     if (updated) {
-      // Also when nothing changed that others should know: how long the target stays slow may be told for the first time.
+      // Applies to announcements without a state change too: one of them may be the first to report the warm-up time.
       this._warmAt = monotonicMs() + coldMs;
       this._updateGate();
     }
@@ -193,16 +192,16 @@
     return changed;
   }
 
-  /** Takes what others remember of this host's target. */
+  /** Applies the state of the target that other daemons or the platform's log know. */
   restore(record: TargetRecord): void {
     if (this._life.remember(record)) {
       const { instance, state } = this._life.known;
-      this._deps.events.notable('target', `Others remember that the target is ${state}.`, { instance });
+      this._deps.events.notable('target', `Restored the last known state of the target: ${state}.`, { instance });
       this._applyState();
     }
   }
 
-  /** Lets calls in once this daemon has heard what others remember of its target. */
+  /** Accepts calls from now on: the last known state of the target has been fetched, or the fetch has timed out. */
   endRecovery(): void {
     if (this._recovering) {
       this._recovering = false;
@@ -210,13 +209,13 @@
     }
   }
 
-  /** The daemon stops: takes no new calls. What runs is left to end. */
+  /** Refuses new calls, because the daemon is shutting down. Running calls continue. */
   stop(): void {
     this._stopping = true;
     this._applyState();
   }
 
-  /** Steers the level over the time since the last call, and looks after connections; called a few times a second. */
+  /** Updates the admission level for the elapsed time, and checks connections; called several times per second. */
   check(elapsedMs: number): void {
     const { queued, meanMs, limit } = this._gate;
     this._level.step((queued * meanMs) / limit, elapsedMs);
@@ -227,13 +226,13 @@
     }
   }
 
-  /** Ends timers and connections. */
+  /** Stops timers and closes connections. */
   close(): void {
     clearTimeout(this._expiryTimer);
     this._client?.close();
   }
 
-  /** Takes a call of this or another daemon. */
+  /** Offers a call of this or another daemon to the target. */
   offer(call: PeerCall, done: OfferDone): OfferHandle {
     const now = monotonicMs();
     const offered: OfferedCall = {
@@ -263,7 +262,7 @@
     };
   }
 
-  /** Lets a call through unless it has to wait for other suspects; returns why it is refused. */
+  /** Passes a call on unless it has to wait for other suspects; returns the reason if it is refused. */
   private _offerToSuspectGate(offered: OfferedCall): GateRefusal | undefined {
     const decision = this._suspects.offer(offered);
     switch (decision.kind) {
@@ -278,7 +277,7 @@
     }
   }
 
-  /** Hands a call to the gate, which starts it, lets it wait for a slot, or refuses it. */
+  /** Starts a call, queues it for a slot, or refuses it. */
   private _offerToSlotGate(offered: OfferedCall): void {
     this._level.recordArrival(offered.call.waitMs);
     const decision = this._gate.offer(offered);
@@ -309,7 +308,7 @@
     }
   }
 
-  /** A call that could not be started for want of room is work beyond what the target can do. */
+  /** Counts a call that was refused because there is no capacity as excess load. */
   private _recordRefusal(reason: NotRunReason): void {
     if (isCapacityRefusal(reason)) {
       this._level.recordRefusal(this._gate.meanMs / this._gate.limit);
@@ -378,20 +377,20 @@
     }
   }
 
-  /** Others should know at once when the target takes no connections, or does again; a late report of an earlier target is none. */
+  /** Publishes when the target becomes unreachable or reachable again; ignores late reports about an earlier target. */
   private _handleReach(reach: TargetReach, evidence: ReachEvidence): void {
     if (reach !== this._reach || !reach.note(evidence, monotonicMs())) {
       return;
     }
     const { reachable } = reach;
-    this._deps.events.notable('target', reachable ? 'The target takes connections again.' : 'The target takes no connections.', {
+    this._deps.events.notable('target', reachable ? 'The target accepts connections again.' : 'The target accepts no connections.', {
       instance: this._life.known.instance,
       evidence,
     });
     this._applyState();
   }
 
-  /** A target that was to leave has ended as it said; one that was ready has crashed, with all that ran on it. */
+  /** Handles the end of the target process: a crash if the target was ready, expected if it was draining. */
   private _handleCrash(calls: readonly PeerCall[]): void {
     const { address, instance, born, state } = this._life.known;
     if (state !== 'ready') {
@@ -402,7 +401,7 @@
       this._lastCrashId = crash.id;
       this._deps.metrics.targetCrashed();
     }
-    this._deps.events.warn('target', 'The target ended while requests ran on it.', {
+    this._deps.events.warn('target', 'The target crashed with requests in flight.', {
       instance,
       born,
       running: calls.length,
@@ -442,7 +441,7 @@
 
   private _handleResult(offered: OfferedCall, { end, answered }: RunEnd): void {
     this._running.delete(offered.call);
-    // A failure may have come before the work that ends the target.
+    // A failed call may not have reached the work that crashes the target, so it does not clear the suspicion.
     if (answered && end.kind === 'answered' && end.answer.status < 500) {
       this._suspects.completed(offered);
     }
@@ -467,7 +466,7 @@
     }
   }
 
-  /** Refused callers come back when what waits and runs now will have ended. */
+  /** The retry delay of a refusal is the estimated time to complete the current queue and running calls. */
   private _refusal(reason: GateRefusal): CallEnd {
     this._deps.metrics.refused(reason);
     const { inFlight, queued, limit, meanMs } = this._gate;
