--- a/packages/mesh/src/app/log/logFollower.ts
+++ b/packages/mesh/src/app/log/logFollower.ts
@@ -19,25 +19,25 @@
  */
 const kWindowShare = 0.5;
 /** Reports of a reader in that time. */
-const kReportsInWindow = 2;
+const kReportsPerWindow = 2;
 /** Age of the latest answer from which on the log counts as silent, in milliseconds: the longest read and the time for its answer. */
-const kSilentLogMs = 5_500;
+const kMaxAnswerAgeMs = 5_500;
 /** Spread of the own polls while no reader is known, as a share of the pause between two of them: members should not poll together. */
-const kPollSpread = 0.3;
+const kPollJitter = 0.3;
 /** Longest pause between two own polls, in milliseconds; it begins at the window, and is doubled while the log does not answer. */
-const kMaxPollMs = 8_000;
+const kMaxPollIntervalMs = 8_000;
 /** Age of the records known from which on an own poll reads them too, in milliseconds. */
-const kRecordsAgeMs = 4_000;
+const kMaxRecordsAgeMs = 4_000;
 /** Time over which the first reads of a new deployment are spread, in milliseconds: each then finds those before it in the log. */
-const kFirstReadsMs = 1_500;
+const kInitialReadSpreadMs = 1_500;
 /**
  * Time after the start of a new deployment in which nobody reads for others, in milliseconds: as long as each daemon knows only those
  * that read before it, half of them would take themselves for readers.
  */
-const kFirstActiveMs = 2_000;
+const kInitialPassiveMs = 2_000;
 /** Pause before a first read is repeated that had no answer, in milliseconds, at first and at most. */
-const kRetryReadMs = 200;
-const kMaxRetryReadMs = 1_600;
+const kReadRetryMs = 200;
+const kMaxReadRetryMs = 1_600;
 
 /** What the follower uses of its daemon. */
 export interface LogFollowerDeps extends LogWriterDeps {
@@ -55,17 +55,17 @@
   private readonly _windowMs: number;
   private readonly _writer: LogWriter;
   /** Hosts that can't be reached from here. */
-  private readonly _down = new Set<string>();
+  private readonly _unreachable = new Set<string>();
   private _place: ReaderPlace = { kind: 'member', readers: [], ahead: [] };
   private _hasRead = false;
   /** Until then this daemon only makes itself known. */
   private _activeFrom = 0;
-  private _follows = false;
-  private _readTimer: NodeJS.Timeout | undefined;
-  private _reportAt = 0;
+  private _following = false;
+  private _initialReadTimer: NodeJS.Timeout | undefined;
+  private _reportedAt = 0;
   /** From when on the pause until the next own poll counts. */
   private _pollAt: number | undefined;
-  private _pollMs: number;
+  private _pollIntervalMs: number;
   /** What the next relay to the zone carries. */
   private _updates = new Map<string, TargetRecord>();
   private _erased = new Set<string>();
@@ -73,13 +73,13 @@
   constructor(private readonly _deps: LogFollowerDeps) {
     const { settings } = _deps;
     this._windowMs = settings.inForceMs * kWindowShare;
-    this._pollMs = this._windowMs;
+    this._pollIntervalMs = this._windowMs;
     this._rank = new ReaderRank(settings.zone, settings.id, this._windowMs);
     this._writer = new LogWriter(_deps);
   }
 
   /** Whether this daemon follows the log for its zone. */
-  get reads(): boolean {
+  get readsLog(): boolean {
     return this._place.kind === 'reader';
   }
 
@@ -89,21 +89,21 @@
   }
 
   /** Whether the log, as far as this daemon uses it, answers. */
-  get answered(): boolean {
+  get logResponds(): boolean {
     const { configs } = this._deps;
-    return !configs.failing && monotonicMs() - configs.answeredAt < kSilentLogMs;
+    return !configs.failing && monotonicMs() - configs.answeredAt < kMaxAnswerAgeMs;
   }
 
   /** Begins with one reading of the hosts' records. */
   start(): void {
     const { firstStart } = this._deps.settings.log;
-    this._activeFrom = firstStart ? monotonicMs() + kFirstActiveMs : 0;
-    this._firstRead(firstStart ? Math.random() * kFirstReadsMs : 0, kRetryReadMs);
+    this._activeFrom = firstStart ? monotonicMs() + kInitialPassiveMs : 0;
+    this._scheduleInitialRead(firstStart ? Math.random() * kInitialReadSpreadMs : 0, kReadRetryMs);
   }
 
   /** Ends timers. */
   stop(): void {
-    clearTimeout(this._readTimer);
+    clearTimeout(this._initialReadTimer);
     this._hasRead = false;
   }
 
@@ -116,47 +116,47 @@
   }
 
   /** Another daemon reports whether the log answers it. */
-  reported(host: string, well: boolean): void {
-    this._rank.reported(host, well, monotonicMs());
+  reported(host: string, logResponds: boolean): void {
+    this._rank.reported(host, logResponds, monotonicMs());
   }
 
   /** A host can be reached, or can't. */
-  reached(host: string, up: boolean): void {
-    if (up) {
-      this._down.delete(host);
+  setReachable(host: string, reachable: boolean): void {
+    if (reachable) {
+      this._unreachable.delete(host);
     } else {
-      this._down.add(host);
+      this._unreachable.add(host);
     }
   }
 
   /** A record that this daemon did not have; the first reader relays it to its zone. */
-  updated(record: TargetRecord): void {
+  recordUpdated(record: TargetRecord): void {
     this._updates.set(record.host, record);
   }
 
   /** A host whose record was removed from the log; `relay` when the log itself said so. */
-  erased(host: string, relay: boolean): void {
-    this._writer.erased(host);
+  recordErased(host: string, relay: boolean): void {
+    this._writer.recordErased(host);
     if (relay) {
       this._erased.add(host);
     }
   }
 
   /** A record as the log has it. */
-  inLog(record: TargetRecord): void {
-    this._writer.inLog(record);
+  recordLogged(record: TargetRecord): void {
+    this._writer.recordLogged(record);
   }
 
   /** A complete reading of the records begins; its records follow. */
-  beginReading(): void {
-    this._writer.beginReading();
+  beginFullRead(): void {
+    this._writer.beginFullRead();
     this._hasRead = true;
   }
 
   /** A reader says that the log has the own record. */
-  ownLogged(epoch: number, revision: number): void {
+  ownRecordLogged(epoch: number, revision: number): void {
     const { host } = this._deps.own();
-    this._writer.inLog({ host, epoch, revision });
+    this._writer.recordLogged({ host, epoch, revision });
   }
 
   /** Takes up, goes on with and ends what is due; called a few times a second. */
@@ -166,13 +166,13 @@
     }
     const now = monotonicMs();
     const members = this._members();
-    this._place = this._rank.place(members, (host) => this._down.has(host), now);
+    this._place = this._rank.place(members, (host) => this._unreachable.has(host), now);
     if (now < this._activeFrom) {
       // Alone in its zone, as far as it knows: those that read next should find it.
       this._writer.check(now, members.length === 1, members);
       return;
     }
-    this._follow();
+    this._updateFollowing();
     if (this._place.kind === 'reader') {
       this._report(now);
     } else {
@@ -187,13 +187,13 @@
     this._writer.check(now, first, members);
   }
 
-  private _firstRead(delayMs: number, retryMs: number): void {
-    this._readTimer = setTimeout(() => {
+  private _scheduleInitialRead(delayMs: number, retryMs: number): void {
+    this._initialReadTimer = setTimeout(() => {
       void this._deps.records.readNewest().then((answered) => {
         if (!answered && !this._hasRead) {
           // Other daemons may have sent everything meanwhile; then this one goes on without the log.
           this._hasRead = this._deps.directory.size > 1;
-          this._firstRead(retryMs, Math.min(kMaxRetryReadMs, retryMs * 2));
+          this._scheduleInitialRead(retryMs, Math.min(kMaxReadRetryMs, retryMs * 2));
         }
       });
     }, delayMs);
@@ -204,12 +204,12 @@
     return [...directory.values()].filter(({ zone, state }) => zone === settings.zone && state !== 'gone');
   }
 
-  private _follow(): void {
-    if (this._follows !== this.reads) {
-      this._follows = this.reads;
-      this._deps.events.notable('log', this.reads ? 'Follows the log for its zone.' : 'Leaves the log to other readers of its zone.');
+  private _updateFollowing(): void {
+    if (this._following !== this.readsLog) {
+      this._following = this.readsLog;
+      this._deps.events.notable('log', this.readsLog ? 'Follows the log for its zone.' : 'Leaves the log to other readers of its zone.');
     }
-    this._deps.configs.follow(this.reads);
+    this._deps.configs.follow(this.readsLog);
     this._deps.records.follow(this._place.kind === 'reader' && this._place.first);
   }
 
@@ -217,9 +217,9 @@
   private _report(now: number): void {
     const { configs, directory } = this._deps;
     const known = configs.failing || configs.answeredAt > -Infinity;
-    if (known && now - this._reportAt >= this._windowMs / kReportsInWindow) {
-      this._reportAt = now;
-      this._deps.sendZone({ type: 'reading', well: this.answered, version: this._deps.version(), digests: directory.digests });
+    if (known && now - this._reportedAt >= this._windowMs / kReportsPerWindow) {
+      this._reportedAt = now;
+      this._deps.sendZone({ type: 'reading', well: this.logResponds, version: this._deps.version(), digests: directory.digests });
     }
   }
 
@@ -234,24 +234,24 @@
 
   private _pollWithoutReader(now: number): void {
     if (this._rank.served(now)) {
-      this._pollMs = this._windowMs;
-      this._pollAt = now + this._windowMs * Math.random() * kPollSpread;
+      this._pollIntervalMs = this._windowMs;
+      this._pollAt = now + this._windowMs * Math.random() * kPollJitter;
       return;
     }
-    this._pollAt ??= now + this._windowMs * Math.random() * kPollSpread;
-    if (now < this._pollAt + this._pollMs) {
+    this._pollAt ??= now + this._windowMs * Math.random() * kPollJitter;
+    if (now < this._pollAt + this._pollIntervalMs) {
       return;
     }
-    this._pollAt = now + this._pollMs * Math.random() * kPollSpread;
+    this._pollAt = now + this._pollIntervalMs * Math.random() * kPollJitter;
     void this._pollOnce();
   }
 
   private async _pollOnce(): Promise<void> {
     const { configs, records } = this._deps;
     const answered = await configs.readNewest();
-    if (answered && monotonicMs() - records.answeredAt > kRecordsAgeMs) {
+    if (answered && monotonicMs() - records.answeredAt > kMaxRecordsAgeMs) {
       await records.readNewest();
     }
-    this._pollMs = answered ? this._windowMs : Math.min(kMaxPollMs, this._pollMs * 2);
+    this._pollIntervalMs = answered ? this._windowMs : Math.min(kMaxPollIntervalMs, this._pollIntervalMs * 2);
   }
 }
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -181,7 +181,7 @@
       throw err;
     }
     this._platform.configs.onConfig((cfg) => {
-      this._configs.take(cfg, 'log');
+      this._configs.apply(cfg, 'log');
     });
     this._records.start();
     this._follower.start();
@@ -275,7 +275,7 @@
       tables: () => this._configs.tables,
       suspensions: this._suspensions,
       ownProof: () => this._platform.configs.proof,
-      reads: () => this._follower.reads,
+      reads: () => this._follower.readsLog,
       readers: () => this._follower.readers,
       complete: () => this._sync.complete,
       sendTo: (host, message) => {
@@ -339,7 +339,7 @@
         this._records.take(records);
       },
       onVersion: (version, link) => {
-        this._configs.hear(version, this._follower.reads, () => {
+        this._configs.versionAvailable(version, this._follower.readsLog, () => {
           link.send({ type: 'config_wanted' });
         });
       },
@@ -347,7 +347,7 @@
         this._records.erase(hosts);
       },
       onLogged: (epoch, revision) => {
-        this._follower.ownLogged(epoch, revision);
+        this._follower.ownRecordLogged(epoch, revision);
       },
       onDigests: (digests, link) => {
         this._sync.compare(digests, link);
@@ -356,7 +356,7 @@
         this._follower.reported(host, well);
       },
       onConfig: (cfg) => {
-        this._configs.take(cfg, 'peer');
+        this._configs.apply(cfg, 'peer');
       },
       onSuspects: (suspects) => {
         this._suspects.take(suspects);
@@ -478,7 +478,7 @@
       gate: this._gate.state,
       configVersion: this._configs.version,
       logCalls: Object.fromEntries(this._platform.logCalls()),
-      reads: this._follower.reads,
+      reads: this._follower.readsLog,
     });
     this._logPassedOver();
   }
@@ -509,7 +509,7 @@
       inFlight: this._calls.inFlight,
       omittedLines: this._events.omitted,
       logCalls: this._platform.logCalls(),
-      reads: this._follower.reads,
+      reads: this._follower.readsLog,
       proofAge: this._workspaces.proofs.ageSeconds,
       suspensions: this._suspensions.count,
       suspects: this._suspects.counts,
@@ -519,14 +519,14 @@
 
   /** Readers tell their whole zone, others a few: those may be in reach of daemons that no reader reaches. */
   private _spreadVersion(version: number): void {
-    if (this._follower.reads) {
+    if (this._follower.readsLog) {
       this._network.sendZone(this._settings.zone, { type: 'version', version });
     }
     this._network.sendSome(kSpread, { type: 'version', version });
   }
 
   private _hearReach(host: string, reached: boolean): void {
-    this._follower.reached(host, reached);
+    this._follower.setReachable(host, reached);
     this._workspaces.quotas.reached(host, reached);
     if (reached) {
       this._placement.reached(host);
--- a/packages/mesh/src/app/records/hostRecords.ts
+++ b/packages/mesh/src/app/records/hostRecords.ts
@@ -122,7 +122,7 @@
   private async _publish(record: TargetRecord): Promise<boolean> {
     const durable = await this._deps.log.publish(record);
     if (durable) {
-      this._deps.follower().ownLogged(record.epoch, record.revision);
+      this._deps.follower().ownRecordLogged(record.epoch, record.revision);
     }
     return durable;
   }
@@ -161,7 +161,7 @@
   /** Forgets hosts whose records were removed from the log. */
   erase(hosts: readonly string[]): void {
     for (const host of hosts) {
-      this._deps.follower().erased(host, false);
+      this._deps.follower().recordErased(host, false);
       this._forget(host);
     }
   }
@@ -174,7 +174,7 @@
 
   private _takeChanges(changes: RecordChange[], complete: boolean): void {
     if (complete) {
-      this._deps.follower().beginReading();
+      this._deps.follower().beginFullRead();
     }
     for (const change of changes) {
       this._takeChange(change);
@@ -189,7 +189,7 @@
     const { settings, follower } = this._deps;
     switch (change.kind) {
       case 'record':
-        follower().inLog(change.record);
+        follower().recordLogged(change.record);
         if (change.record.host === settings.id) {
           this._takeOwn(change.record);
         } else {
@@ -197,7 +197,7 @@
         }
         return;
       case 'erased':
-        follower().erased(change.host, true);
+        follower().recordErased(change.host, true);
         this._forget(change.host);
     }
   }
@@ -212,7 +212,7 @@
     if (!directory.learn(record)) {
       return;
     }
-    this._deps.follower().updated(record);
+    this._deps.follower().recordUpdated(record);
     this._noteTarget(before, record);
     const replaced = before === undefined || !isSameIncarnation(before, record);
     // The first records of a start are no changes: one line says how many hosts there are.
--- a/tests/mesh/logFollower.spec.ts
+++ b/tests/mesh/logFollower.spec.ts
@@ -155,7 +155,7 @@
     for (const daemon of this.daemons) {
       this.daemons.forEach(({ host }) => daemon.directory.learn(this.recordOf(host, 1)));
       daemon.follower.start();
-      daemon.follower.beginReading();
+      daemon.follower.beginFullRead();
     }
   }
 
@@ -164,7 +164,7 @@
   }
 
   get readers(): FakeDaemon[] {
-    return this.daemons.filter(({ alive, follower }) => alive && follower.reads);
+    return this.daemons.filter(({ alive, follower }) => alive && follower.readsLog);
   }
 
   /** Ends a daemon without a word; `seen` when the others' connections to it were reset. */
@@ -172,7 +172,7 @@
     daemon.alive = false;
     if (seen) {
       this.daemons.forEach(({ follower }) => {
-        follower.reached(daemon.host, false);
+        follower.setReachable(daemon.host, false);
       });
     }
   }
@@ -218,7 +218,7 @@
         daemon.take(message.version, this);
         return;
       case 'logged':
-        daemon.follower.ownLogged(message.epoch, message.revision);
+        daemon.follower.ownRecordLogged(message.epoch, message.revision);
         return;
       default:
     }
@@ -359,7 +359,7 @@
   itAlone('should be written by its own host', (t) =>
     withZone(10, async (zone) => {
       await zone.run(5_000);
-      const lone = zone.daemons.find(({ follower }) => !follower.reads);
+      const lone = zone.daemons.find(({ follower }) => !follower.readsLog);
       lone?.directory.learn(zone.recordOf(lone.host, 2));
       await zone.run(8_000);
       t.is(zone.log.written.get(lone?.host ?? '')?.revision, 2);
