--- a/packages/mesh/src/app/log/logFollower.ts
+++ b/packages/mesh/src/app/log/logFollower.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * What this daemon reads from the platform's log and writes there: as one of its zone's readers for all of them, otherwise only when
- * no reader is known to follow the log. The calls of a fleet grow with its zones and its changes, not with its hosts.
+ * Decides what this daemon reads from and writes to the platform's log. The readers of a zone follow the log for all its daemons; other
+ * daemons poll the log only while they know of no reader. So the number of log calls does not grow with the number of hosts.
  */
 
 import { monotonicMs, ReaderRank, type ReaderPlace, type TargetDirectory, type TargetRecord } from '@gentiandrum/core';
@@ -14,59 +14,59 @@
 import { LogWriter, type LogWriterDeps } from './logWriter.js';
 
 /**
- * Share of the time for a configuration to be in force after which a reader without a report is passed over: what is left is for
- * the own poll, two answers of the log and the way to the others.
+ * Share of `inForceMs` after which a reader without a report is considered failed. The rest of the time covers the local poll, two
+ * responses of the log and the propagation to other daemons.
  */
 const kWindowShare = 0.5;
-/** Reports of a reader in that time. */
+/** Number of reports that a reader sends in that time. */
 const kReportsPerWindow = 2;
-/** Age of the latest answer from which on the log counts as silent, in milliseconds: the longest read and the time for its answer. */
+/** Age of the latest response at which the log counts as unavailable, in milliseconds: the longest read plus its response time. */
 const kMaxAnswerAgeMs = 5_500;
-/** Spread of the own polls while no reader is known, as a share of the pause between two of them: members should not poll together. */
+/** Jitter of the polls while no reader is known, as a share of the poll interval; keeps daemons from polling at the same time. */
 const kPollJitter = 0.3;
-/** Longest pause between two own polls, in milliseconds; it begins at the window, and is doubled while the log does not answer. */
+/** Maximum poll interval, in milliseconds; the interval starts at the window, and doubles while the log does not respond. */
 const kMaxPollIntervalMs = 8_000;
-/** Age of the records known from which on an own poll reads them too, in milliseconds. */
+/** Age of the known records at which a poll reads the records too, in milliseconds. */
 const kMaxRecordsAgeMs = 4_000;
-/** Time over which the first reads of a new deployment are spread, in milliseconds: each then finds those before it in the log. */
+/** Time over which the daemons spread their first reads at the initial start of the deployment, in milliseconds. */
 const kInitialReadSpreadMs = 1_500;
 /**
- * Time after the start of a new deployment in which nobody reads for others, in milliseconds: as long as each daemon knows only those
- * that read before it, half of them would take themselves for readers.
+ * Time after the initial start of the deployment before a daemon becomes a reader, in milliseconds. Until then, each daemon knows only
+ * the daemons that read the log before it, so too many of them would become readers.
  */
 const kInitialPassiveMs = 2_000;
-/** Pause before a first read is repeated that had no answer, in milliseconds, at first and at most. */
+/** Initial and maximum delay before the first read is retried, in milliseconds. */
 const kReadRetryMs = 200;
 const kMaxReadRetryMs = 1_600;
 
-/** What the follower uses of its daemon. */
+/** Daemon services that the follower depends on. */
 export interface LogFollowerDeps extends LogWriterDeps {
   directory: TargetDirectory;
   configs: ConfigSource;
   /** Version of the configuration in force. */
   version(): number;
-  /** Sends to every linked daemon of the own zone. */
+  /** Sends to every linked daemon of the local zone. */
   sendZone(message: PeerMessage): void;
 }
 
-/** The part of one daemon in reading and writing the log. */
+/** Reads and writes the platform's log for one daemon. */
 export class LogFollower {
   private readonly _rank: ReaderRank;
   private readonly _windowMs: number;
   private readonly _writer: LogWriter;
-  /** Hosts that can't be reached from here. */
+  /** Hosts that this daemon cannot reach. */
   private readonly _unreachable = new Set<string>();
   private _place: ReaderPlace = { kind: 'member', readers: [], ahead: [] };
   private _hasRead = false;
-  /** Until then this daemon only makes itself known. */
+  /** Time until which this daemon only publishes its own record, on the monotonic clock. */
   private _activeFrom = 0;
   private _following = false;
   private _initialReadTimer: NodeJS.Timeout | undefined;
   private _reportedAt = 0;
-  /** From when on the pause until the next own poll counts. */
+  /** Start of the current poll interval, on the monotonic clock; undefined before the first. */
   private _pollAt: number | undefined;
   private _pollIntervalMs: number;
-  /** What the next relay to the zone carries. */
+  /** Changes that the first reader relays to its zone at the next check. */
   private _updates = new Map<string, TargetRecord>();
   private _erased = new Set<string>();
 
@@ -83,31 +83,31 @@
     return this._place.kind === 'reader';
   }
 
-  /** Other hosts that follow the log for this zone. */
+  /** Other hosts known as readers of this zone; for a reader, those ranked before it. */
   get readers(): readonly string[] {
     return this._place.kind === 'member' ? this._place.readers : this._place.ahead;
   }
 
-  /** Whether the log, as far as this daemon uses it, answers. */
+  /** Whether this daemon's latest call to the log succeeded, and recently enough. */
   get logResponds(): boolean {
     const { configs } = this._deps;
     return !configs.failing && monotonicMs() - configs.answeredAt < kMaxAnswerAgeMs;
   }
 
-  /** Begins with one reading of the hosts' records. */
+  /** Reads the hosts' records once, delayed at the initial start of the deployment. */
   start(): void {
     const { firstStart } = this._deps.settings.log;
     this._activeFrom = firstStart ? monotonicMs() + kInitialPassiveMs : 0;
     this._scheduleInitialRead(firstStart ? Math.random() * kInitialReadSpreadMs : 0, kReadRetryMs);
   }
 
-  /** Ends timers. */
+  /** Stops the initial read and its timer. */
   stop(): void {
     clearTimeout(this._initialReadTimer);
     this._hasRead = false;
   }
 
-  /** Whether a link to a host is of use for following the log, or for those that do. */
+  /** Whether this daemon needs a link to a host to relay or to receive what the log says. */
   wantsLink({ host, zone }: TargetRecord): boolean {
     if (zone !== this._deps.settings.zone) {
       return false;
@@ -115,12 +115,12 @@
     return this._place.kind === 'reader' || this._place.ahead.includes(host);
   }
 
-  /** Another daemon reports whether the log answers it. */
+  /** Records whether the log responds to another daemon, as that daemon reports. */
   reported(host: string, logResponds: boolean): void {
     this._rank.reported(host, logResponds, monotonicMs());
   }
 
-  /** A host can be reached, or can't. */
+  /** Records whether this daemon can reach a host. */
   setReachable(host: string, reachable: boolean): void {
     if (reachable) {
       this._unreachable.delete(host);
@@ -129,12 +129,12 @@
     }
   }
 
-  /** A record that this daemon did not have; the first reader relays it to its zone. */
+  /** Queues a record that is new to this daemon; the first reader relays it to its zone. */
   recordUpdated(record: TargetRecord): void {
     this._updates.set(record.host, record);
   }
 
-  /** A host whose record was removed from the log; `relay` when the log itself said so. */
+  /** Handles the removal of a host's record from the log; `relay` when this daemon read the removal from the log itself. */
   recordErased(host: string, relay: boolean): void {
     this._writer.recordErased(host);
     if (relay) {
@@ -142,24 +142,24 @@
     }
   }
 
-  /** A record as the log has it. */
+  /** Marks a record as present in the log. */
   recordLogged(record: TargetRecord): void {
     this._writer.recordLogged(record);
   }
 
-  /** A complete reading of the records begins; its records follow. */
+  /** Begins a full read of the records, which follow one by one. */
   beginFullRead(): void {
     this._writer.beginFullRead();
     this._hasRead = true;
   }
 
-  /** A reader says that the log has the own record. */
+  /** Marks the record of this host as present in the log. */
   ownRecordLogged(epoch: number, revision: number): void {
     const { host } = this._deps.own();
     this._writer.recordLogged({ host, epoch, revision });
   }
 
-  /** Takes up, goes on with and ends what is due; called a few times a second. */
+  /** Updates the role of this daemon, then polls, relays and writes as needed; called several times per second. */
   check(): void {
     if (!this._hasRead) {
       return;
@@ -168,7 +168,7 @@
     const members = this._members();
     this._place = this._rank.place(members, (host) => this._unreachable.has(host), now);
     if (now < this._activeFrom) {
-      // Alone in its zone, as far as it knows: those that read next should find it.
+      // The only known member of its zone writes its record, so that daemons that read the log later find it.
       this._writer.check(now, members.length === 1, members);
       return;
     }
@@ -191,7 +191,7 @@
     this._initialReadTimer = setTimeout(() => {
       void this._deps.records.readNewest().then((answered) => {
         if (!answered && !this._hasRead) {
-          // Other daemons may have sent everything meanwhile; then this one goes on without the log.
+          // Other daemons may have sent their records meanwhile; then this daemon continues without the log.
           this._hasRead = this._deps.directory.size > 1;
           this._scheduleInitialRead(retryMs, Math.min(kMaxReadRetryMs, retryMs * 2));
         }
@@ -207,13 +207,18 @@
   private _updateFollowing(): void {
     if (this._following !== this.readsLog) {
       this._following = this.readsLog;
-      this._deps.events.notable('log', this.readsLog ? 'Follows the log for its zone.' : 'Leaves the log to other readers of its zone.');
+      this._deps.events.notable(
+        'log',
+        this.readsLog
+          ? 'Following the log as a reader of the zone.'
+          : 'Stopped following the log; other daemons are the readers of the zone.',
+      );
     }
     this._deps.configs.follow(this.readsLog);
     this._deps.records.follow(this._place.kind === 'reader' && this._place.first);
   }
 
-  /** Members take a report for a sign that they need not poll, so there is none before the log has answered or failed. */
+  /** Reports to the zone. Other members stop polling on a report, so none is sent before the log has responded or failed. */
   private _report(now: number): void {
     const { configs, directory } = this._deps;
     const known = configs.failing || configs.answeredAt > -Infinity;
--- a/packages/mesh/src/app/log/logWriter.ts
+++ b/packages/mesh/src/app/log/logWriter.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Keeps the records of a zone's hosts in the log: the first reader writes for all, several in one call; a host whose record nobody
- * wrote in time writes it by itself.
+ * Writes the records of a zone's hosts to the log. The first reader writes the records of the whole zone in batches; a host whose record
+ * is not written in time writes it itself.
  */
 
 import { isLaterRecord, isSameIncarnation, type TargetRecord } from '@gentiandrum/core';
@@ -14,17 +14,17 @@
 import type { RecordLog } from '../../ports.js';
 import type { EventLog } from '../eventLog.js';
 
-/** Time over which records are gathered for one call, in milliseconds. */
+/** Time over which changed records are collected into one call, in milliseconds. */
 const kBatchMs = 500;
-/** The same for records that tell nothing new of the target, only what was learned of its calls. */
+/** The same time for records in which neither the target nor its state has changed. */
 const kLearnedBatchMs = 5_000;
-/** Pause after a call that failed, in milliseconds. */
+/** Delay after a failed write, in milliseconds. */
 const kWriteRetryMs = 1_000;
-/** Time after which a host writes its own record when no reader has said that it is in the log, in milliseconds, and its spread. */
+/** Delay and jitter, in milliseconds, after which a host writes its own record if no reader has confirmed it. */
 const kOwnWriteDelayMs = 3_000;
 const kOwnWriteJitterMs = 3_000;
 
-/** What the writer uses of its daemon. */
+/** Daemon services that the writer depends on. */
 export interface LogWriterDeps {
   settings: MeshSettings;
   records: RecordLog;
@@ -33,40 +33,40 @@
   events: EventLog;
 }
 
-/** What is known of a record in the log; only its order when its host was told that it was written. */
+/** Known state of a record in the log; without target fields when it comes from a reader's confirmation. */
 type LoggedRecord = Pick<TargetRecord, 'host' | 'epoch' | 'revision'> & Partial<Pick<TargetRecord, 'instance' | 'born' | 'state'>>;
 
-/** Writer of records. */
+/** Writes the records that the log lacks. */
 export class LogWriter {
   private readonly _logged = new Map<string, LoggedRecord>();
-  /** Whether `_inLog` has all that the log had at some time; what came since comes before anything is written for the zone. */
+  /** Whether the log has been read in full, so that `_logged` has every record of the log. */
   private _complete = false;
   private _writing = false;
   private _retryAt = 0;
-  /** Since when some record is to be written, and one that tells something new of its target. */
+  /** Time since which any record, or one with a changed target, waits to be written, on the monotonic clock. */
   private _pendingSince: number | undefined;
   private _changedSince: number | undefined;
   private _ownWriteAt: number | undefined;
 
   constructor(private readonly _deps: LogWriterDeps) {}
 
-  /** A record as the log has it. */
+  /** Marks a record as present in the log. */
   recordLogged(record: LoggedRecord): void {
     this._logged.set(record.host, record);
   }
 
-  /** A complete reading begins: what it does not bring is not in the log. */
+  /** Begins a full read: records that it does not return are not in the log. */
   beginFullRead(): void {
     this._logged.clear();
     this._complete = true;
   }
 
-  /** The log has no record of a host any more. */
+  /** Marks the record of a host as absent from the log. */
   recordErased(host: string): void {
     this._logged.delete(host);
   }
 
-  /** Writes what is due; `first` when this daemon writes for its zone. */
+  /** Writes pending records; `first` when this daemon writes for its zone. */
   check(now: number, first: boolean, members: readonly TargetRecord[]): void {
     if (first) {
       this._writeZone(now, members);
@@ -77,7 +77,7 @@
 
   private _needsWrite(record: TargetRecord): boolean {
     const logged = this._logged.get(record.host);
-    // A daemon that has just started knows nothing of its target: what the log says of it must not be lost by that.
+    // A daemon that has just started does not know the state of its target, and must not overwrite the state in the log.
     return logged === undefined || (record.state !== 'unknown' && isLaterRecord(record, logged));
   }
 
