--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -122,7 +122,7 @@
         logSuspectEvent(_events, event);
         // Once what is being learned now is all there.
         setImmediate(() => {
-          this._records.tellSuspects();
+          this._records.updateSuspects();
         });
       },
     });
@@ -137,7 +137,7 @@
       chargeMs: (route) => this._placement.chargeMs(route),
       isKeyValid: (workspace) => this._workspaces.keyHolds(workspace),
       onChange: () => {
-        this._records.tell();
+        this._records.updateOwn();
       },
       chains: this._chains,
       suspects: this._suspects,
@@ -152,7 +152,7 @@
 
   /** Whether callers should be sent here. */
   get ready(): boolean {
-    return this._configs.config !== undefined && this._records.recalled && !this._stopping;
+    return this._configs.config !== undefined && this._records.recovered && !this._stopping;
   }
 
   /** The record of this host as other daemons should know it. */
@@ -187,7 +187,7 @@
     this._follower.start();
     this._tickLater(kTickMs);
     this._learnedTimer = setInterval(() => {
-      this._records.tellLearned();
+      this._records.updateLearned();
       this._suspects.prune();
     }, kLearnedMs);
     this._totalsTimer = setInterval(() => {
@@ -301,10 +301,10 @@
       suspects: this._suspects,
       log: this._platform.records,
       follower: () => this._follower,
-      onReadAll: () => {
-        this._sync.hasRead();
+      onFullRead: () => {
+        this._sync.markComplete();
       },
-      onRecalled: () => {
+      onRecovered: () => {
         this._workspaces.quotas.notePredecessor(this._records.sincePredecessorMs);
       },
       broadcast: (record) => {
@@ -336,7 +336,7 @@
     return {
       onCall: (call, done) => this._gate.offer(call, done),
       onRecords: (records) => {
-        this._records.take(records);
+        this._records.receive(records);
       },
       onVersion: (version, link) => {
         this._configs.versionAvailable(version, this._follower.readsLog, () => {
@@ -344,7 +344,7 @@
         });
       },
       onErased: (hosts) => {
-        this._records.erase(hosts);
+        this._records.remove(hosts);
       },
       onLogged: (epoch, revision) => {
         this._follower.ownRecordLogged(epoch, revision);
--- a/packages/mesh/src/app/records/hostRecords.ts
+++ b/packages/mesh/src/app/records/hostRecords.ts
@@ -22,9 +22,9 @@
 import type { TargetGate } from '../calls/targetGate.js';
 
 /** Longest wait at a start for what others remember of this host's target, in milliseconds. */
-const kRecallMs = 3_000;
+const kRecoveryTimeoutMs = 3_000;
 /** Difference of a ratio from which on it is told anew, as a share of it: well above the noise of the fit. */
-const kToldDifference = 0.3;
+const kMinRatioChange = 0.3;
 
 /** What the records use of their daemon. */
 export interface HostRecordsDeps {
@@ -37,9 +37,9 @@
   log: RecordLog;
   follower: () => LogFollower;
   /** Called when all records of the log were read. */
-  onReadAll(): void;
+  onFullRead(): void;
   /** Called once it is known what others knew of this host. */
-  onRecalled(): void;
+  onRecovered(): void;
   /** Tells linked daemons. */
   broadcast(record: TargetRecord): void;
   events: EventLog;
@@ -50,19 +50,19 @@
   private readonly _startedAt = Date.now();
   private _epoch = this._startedAt;
   private _revision = 0;
-  private _recalled = false;
+  private _recovered = false;
   /** Start of this host's previous daemon, on the wall clock; undefined when nobody knows of one. */
   private _predecessorAt: number | undefined;
   private _learned: LearnedChains | undefined;
   private _suspects: Suspicion[] = [];
   private _published: Promise<boolean> = Promise.resolve(true);
-  private _recallTimer: NodeJS.Timeout | undefined;
+  private _recoveryTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly _deps: HostRecordsDeps) {}
 
   /** Whether what others remember of this host's target is known, as far as it can be. */
-  get recalled(): boolean {
-    return this._recalled;
+  get recovered(): boolean {
+    return this._recovered;
   }
 
   /** Resolves once the own record is durable, or a newer one took its place. */
@@ -94,23 +94,23 @@
   start(): void {
     this._deps.directory.learn(this.own);
     this._deps.log.onChanges((changes, complete) => {
-      this._takeChanges(changes, complete);
+      this._applyChanges(changes, complete);
     });
-    this._recallTimer = setTimeout(() => {
-      this._recall('nobody');
-    }, kRecallMs);
+    this._recoveryTimer = setTimeout(() => {
+      this._finishRecovery('nobody');
+    }, kRecoveryTimeoutMs);
   }
 
   /** Ends timers. */
   stop(): void {
-    clearTimeout(this._recallTimer);
+    clearTimeout(this._recoveryTimer);
   }
 
   /** Makes the state of the own target known: to linked daemons at once, and in the log. */
-  tell(): void {
+  updateOwn(): void {
     this._revision++;
     const record = this.own;
-    this._noteTarget(this._deps.directory.get(record.host), record);
+    this._updatePlacement(this._deps.directory.get(record.host), record);
     this._deps.directory.learn(record);
     this._deps.broadcast(record);
     // Others may have to act on a leaving after this daemon's end, so it is written at once; the zone's reader writes the rest.
@@ -128,83 +128,83 @@
   }
 
   /** Makes known what was learned of the routes that run here, when it differs from what the record says; called now and then. */
-  tellLearned(): void {
+  updateLearned(): void {
     const learned = this._deps.chains.learned();
     if (this.own.state === 'ready' && differs(learned, this._learned)) {
       this._learned = learned;
-      this.tell();
+      this.updateOwn();
     }
   }
 
   /** Makes known which kinds are held back since the target here ended by them, when the record says something else. */
-  tellSuspects(): void {
+  updateSuspects(): void {
     const { lasting } = this._deps.suspects;
     const same = lasting.length === this._suspects.length && lasting.every((suspicion, i) => suspicion === this._suspects[i]);
     if (!same) {
       this._suspects = lasting;
-      this.tell();
+      this.updateOwn();
     }
   }
 
   /** Takes records that another daemon passed on. */
-  take(records: TargetRecord[]): void {
+  receive(records: TargetRecord[]): void {
     for (const record of records) {
       if (record.host === this._deps.settings.id) {
-        this._takeOwn(record);
-        this._recall('another daemon');
+        this._applyOwn(record);
+        this._finishRecovery('another daemon');
       } else {
-        this._takeOther(record);
+        this._applyOther(record);
       }
     }
   }
 
   /** Forgets hosts whose records were removed from the log. */
-  erase(hosts: readonly string[]): void {
+  remove(hosts: readonly string[]): void {
     for (const host of hosts) {
       this._deps.follower().recordErased(host, false);
-      this._forget(host);
+      this._removeOther(host);
     }
   }
 
-  private _forget(host: string): void {
+  private _removeOther(host: string): void {
     if (host !== this._deps.settings.id) {
       this._deps.directory.forget(host);
     }
   }
 
-  private _takeChanges(changes: RecordChange[], complete: boolean): void {
+  private _applyChanges(changes: RecordChange[], complete: boolean): void {
     if (complete) {
       this._deps.follower().beginFullRead();
     }
     for (const change of changes) {
-      this._takeChange(change);
+      this._applyChange(change);
     }
     if (complete) {
-      this._deps.onReadAll();
-      this._recall('the log');
+      this._deps.onFullRead();
+      this._finishRecovery('the log');
     }
   }
 
-  private _takeChange(change: RecordChange): void {
+  private _applyChange(change: RecordChange): void {
     const { settings, follower } = this._deps;
     switch (change.kind) {
       case 'record':
         follower().recordLogged(change.record);
         if (change.record.host === settings.id) {
-          this._takeOwn(change.record);
+          this._applyOwn(change.record);
         } else {
-          this._takeOther(change.record);
+          this._applyOther(change.record);
         }
         return;
       case 'erased':
         follower().recordErased(change.host, true);
-        this._forget(change.host);
+        this._removeOther(change.host);
     }
   }
 
-  private _takeOther(record: TargetRecord): void {
+  private _applyOther(record: TargetRecord): void {
     const { directory, events, suspects } = this._deps;
-    this._takeLearned(record);
+    this._applyLearned(record);
     if (record.suspects) {
       suspects.take(record.suspects);
     }
@@ -213,7 +213,7 @@
       return;
     }
     this._deps.follower().recordUpdated(record);
-    this._noteTarget(before, record);
+    this._updatePlacement(before, record);
     const replaced = before === undefined || !isSameIncarnation(before, record);
     // The first records of a start are no changes: one line says how many hosts there are.
     if (before && (replaced || before.state !== record.state)) {
@@ -223,7 +223,7 @@
   }
 
   /** What was held against a target ends when another one takes its place, and when it is ready again; also for the own host's. */
-  private _noteTarget(before: TargetRecord | undefined, record: TargetRecord): void {
+  private _updatePlacement(before: TargetRecord | undefined, record: TargetRecord): void {
     const { placement } = this._deps;
     if (before && !isSameIncarnation(before, record)) {
       placement.forget(record.host);
@@ -233,22 +233,22 @@
   }
 
   /** What an earlier daemon of this host said still binds, and must not look newer than what this one says. */
-  private _takeOwn(record: TargetRecord): void {
+  private _applyOwn(record: TargetRecord): void {
     if (record.epoch === this._epoch) {
       return;
     }
     this._predecessorAt = Math.max(this._predecessorAt ?? 0, record.epoch);
     this._deps.gate().restore(record);
-    this._takeLearned(record);
+    this._applyLearned(record);
     this._deps.suspects.recall(record.suspects ?? []);
     if (record.epoch > this._epoch) {
       this._epoch = record.epoch + 1;
-      this.tell();
+      this.updateOwn();
     }
   }
 
   /** What hosts of the same service learned of its routes holds here too, until this daemon has learned by itself. */
-  private _takeLearned({ learned, host, service }: TargetRecord): void {
+  private _applyLearned({ learned, host, service }: TargetRecord): void {
     const { chains, settings } = this._deps;
     if (!learned) {
       return;
@@ -268,14 +268,14 @@
     return this._predecessorAt === undefined ? Infinity : this._startedAt - this._predecessorAt;
   }
 
-  private _recall(from: 'the log' | 'another daemon' | 'nobody'): void {
-    if (!this._recalled) {
-      this._recalled = true;
-      clearTimeout(this._recallTimer);
+  private _finishRecovery(from: 'the log' | 'another daemon' | 'nobody'): void {
+    if (!this._recovered) {
+      this._recovered = true;
+      clearTimeout(this._recoveryTimer);
       this._deps.events.notable('start', `Heard from ${from} what is known of this host.`, { hosts: this._deps.directory.all().length });
       this._deps.gate().endRecovery();
       if (from !== 'nobody') {
-        this._deps.onRecalled();
+        this._deps.onRecovered();
       }
     }
   }
@@ -287,7 +287,7 @@
     const known = older?.calls[route];
     const names = Object.keys({ ...ratios, ...known });
     return (
-      known === undefined || names.some((name) => Math.abs((ratios[name] ?? 0) - (known[name] ?? 0)) > kToldDifference * (known[name] ?? 0))
+      known === undefined || names.some((name) => Math.abs((ratios[name] ?? 0) - (known[name] ?? 0)) > kMinRatioChange * (known[name] ?? 0))
     );
   });
   return calls || Object.entries(newer.inner).some(([route, inner]) => older?.inner[route] !== inner);
--- a/packages/mesh/src/app/records/recordSync.ts
+++ b/packages/mesh/src/app/records/recordSync.ts
@@ -10,7 +10,7 @@
 import type { Digests } from '../../client/peerMessages.js';
 
 /** Shortest time between two requests, in milliseconds: records on their way make digests differ for a moment at every daemon. */
-const kRequestMs = 2_000;
+const kRequestIntervalMs = 2_000;
 
 /** Keeps the records of one daemon like those of others. */
 export class RecordSync {
@@ -26,20 +26,20 @@
   }
 
   /** All that the log has was read. */
-  hasRead(): void {
+  markComplete(): void {
     this._complete = true;
   }
 
   /** Takes the digests of the daemon at the other end of a link. */
   compare(digests: Digests, link: PeerLink): void {
     const now = monotonicMs();
-    if (this._complete && now - this._requestedAt <= kRequestMs) {
+    if (this._complete && now - this._requestedAt <= kRequestIntervalMs) {
       return;
     }
     const zones = this._differing(digests);
     if (zones.length === 0) {
       this._complete = true;
-    } else if (now - this._requestedAt > kRequestMs) {
+    } else if (now - this._requestedAt > kRequestIntervalMs) {
       this._requestedAt = now;
       link.send({ type: 'records_wanted', zones });
     }
