--- a/packages/mesh/src/app/records/hostRecords.ts
+++ b/packages/mesh/src/app/records/hostRecords.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Records of all hosts as this daemon believes them, and its own record as others should know it. */
+/** Maintains the known records of all hosts, and publishes the record of this host. */
 
 import {
   type ChainModel,
@@ -21,12 +21,12 @@
 import type { LogFollower } from '../log/logFollower.js';
 import type { TargetGate } from '../calls/targetGate.js';
 
-/** Longest wait at a start for what others remember of this host's target, in milliseconds. */
+/** Maximum time at a start to recover the last known state of this host's target, in milliseconds. */
 const kRecoveryTimeoutMs = 3_000;
-/** Difference of a ratio from which on it is told anew, as a share of it: well above the noise of the fit. */
+/** Relative change of a call ratio above which it is published again. */
 const kMinRatioChange = 0.3;
 
-/** What the records use of their daemon. */
+/** Daemon services that the records depend on. */
 export interface HostRecordsDeps {
   settings: MeshSettings;
   gate: () => TargetGate;
@@ -36,22 +36,22 @@
   suspects: Suspects;
   log: RecordLog;
   follower: () => LogFollower;
-  /** Called when all records of the log were read. */
+  /** Called after a full read of the records in the log. */
   onFullRead(): void;
-  /** Called once it is known what others knew of this host. */
+  /** Called once the state of this host has been recovered from the log or another daemon. */
   onRecovered(): void;
-  /** Tells linked daemons. */
+  /** Sends a record to all linked daemons. */
   broadcast(record: TargetRecord): void;
   events: EventLog;
 }
 
-/** Keeps the records. */
+/** Records of one daemon. */
 export class HostRecords {
   private readonly _startedAt = Date.now();
   private _epoch = this._startedAt;
   private _revision = 0;
   private _recovered = false;
-  /** Start of this host's previous daemon, on the wall clock; undefined when nobody knows of one. */
+  /** Start of this host's previous daemon, on the wall clock; undefined when none is known. */
   private _predecessorAt: number | undefined;
   private _learned: LearnedChains | undefined;
   private _suspects: Suspicion[] = [];
@@ -60,17 +60,17 @@
 
   constructor(private readonly _deps: HostRecordsDeps) {}
 
-  /** Whether what others remember of this host's target is known, as far as it can be. */
+  /** Whether the recovery of the last known state of this host's target has finished or timed out. */
   get recovered(): boolean {
     return this._recovered;
   }
 
-  /** Resolves once the own record is durable, or a newer one took its place. */
+  /** Resolves once the latest publication of this host's record to the log has completed; true when the record is durable. */
   get published(): Promise<boolean> {
     return this._published;
   }
 
-  /** The own record. */
+  /** Record of this host. */
   get own(): TargetRecord {
     const { id, zone, listen, target } = this._deps.settings;
     const { instance, born, service, state, slots } = this._deps.gate().advertisedState;
@@ -90,30 +90,31 @@
     };
   }
 
-  /** Begins to take what the log has. */
+  /** Subscribes to the records of the log, and starts the recovery timer. */
   start(): void {
     this._deps.directory.learn(this.own);
     this._deps.log.onChanges((changes, complete) => {
       this._applyChanges(changes, complete);
     });
     this._recoveryTimer = setTimeout(() => {
-      this._finishRecovery('nobody');
+      this._finishRecovery('none');
     }, kRecoveryTimeoutMs);
   }
 
-  /** Ends timers. */
+  /** Stops the recovery timer. */
   stop(): void {
     clearTimeout(this._recoveryTimer);
   }
 
-  /** Makes the state of the own target known: to linked daemons at once, and in the log. */
+  /** Publishes a new revision of this host's record to linked daemons, and to the log if the target is draining or gone. */
   updateOwn(): void {
     this._revision++;
     const record = this.own;
     this._updatePlacement(this._deps.directory.get(record.host), record);
     this._deps.directory.learn(record);
     this._deps.broadcast(record);
-    // Others may have to act on a leaving after this daemon's end, so it is written at once; the zone's reader writes the rest.
+    // Other daemons have to see a draining target after this daemon has stopped too, so that state is written at once; a reader of the
+    // zone writes all others.
     if (record.state === 'draining' || record.state === 'gone') {
       this._published = this._publish(record);
     }
@@ -127,7 +128,7 @@
     return durable;
   }
 
-  /** Makes known what was learned of the routes that run here, when it differs from what the record says; called now and then. */
+  /** Publishes the call ratios and internal routes learned on this host if they differ from the record; called periodically. */
   updateLearned(): void {
     const learned = this._deps.chains.learned();
     if (this.own.state === 'ready' && differs(learned, this._learned)) {
@@ -136,7 +137,7 @@
     }
   }
 
-  /** Makes known which kinds are held back since the target here ended by them, when the record says something else. */
+  /** Publishes the quarantined request fingerprints that crashed this host's target if they differ from the record. */
   updateSuspects(): void {
     const { lasting } = this._deps.suspects;
     const same = lasting.length === this._suspects.length && lasting.every((suspicion, i) => suspicion === this._suspects[i]);
@@ -146,7 +147,7 @@
     }
   }
 
-  /** Takes records that another daemon passed on. */
+  /** Applies records from another daemon. */
   receive(records: TargetRecord[]): void {
     for (const record of records) {
       if (record.host === this._deps.settings.id) {
@@ -158,7 +159,7 @@
     }
   }
 
-  /** Forgets hosts whose records were removed from the log. */
+  /** Removes hosts whose records were removed from the log. */
   remove(hosts: readonly string[]): void {
     for (const host of hosts) {
       this._deps.follower().recordErased(host, false);
@@ -215,14 +216,14 @@
     this._deps.follower().recordUpdated(record);
     this._updatePlacement(before, record);
     const replaced = before === undefined || !isSameIncarnation(before, record);
-    // The first records of a start are no changes: one line says how many hosts there are.
+    // The first record of a host is not a change, and is not logged.
     if (before && (replaced || before.state !== record.state)) {
       const { host, state, instance, service } = record;
       events.notable('peers', `The target on ${host} is ${state}.`, { peer: host, state, instance, service });
     }
   }
 
-  /** What was held against a target ends when another one takes its place, and when it is ready again; also for the own host's. */
+  /** Resets the routing statistics of a host when its target is replaced, and its penalty when its target is ready again. */
   private _updatePlacement(before: TargetRecord | undefined, record: TargetRecord): void {
     const { placement } = this._deps;
     if (before && !isSameIncarnation(before, record)) {
@@ -232,7 +233,7 @@
     }
   }
 
-  /** What an earlier daemon of this host said still binds, and must not look newer than what this one says. */
+  /** Restores the state that an earlier daemon of this host published, and raises the epoch above that of its record. */
   private _applyOwn(record: TargetRecord): void {
     if (record.epoch === this._epoch) {
       return;
@@ -247,7 +248,7 @@
     }
   }
 
-  /** What hosts of the same service learned of its routes holds here too, until this daemon has learned by itself. */
+  /** Adopts what other hosts of the same service learned about its routes, until this daemon has learned call ratios itself. */
   private _applyLearned({ learned, host, service }: TargetRecord): void {
     const { chains, settings } = this._deps;
     if (!learned) {
@@ -268,20 +269,22 @@
     return this._predecessorAt === undefined ? Infinity : this._startedAt - this._predecessorAt;
   }
 
-  private _finishRecovery(from: 'the log' | 'another daemon' | 'nobody'): void {
+  private _finishRecovery(from: 'the log' | 'another daemon' | 'none'): void {
     if (!this._recovered) {
       this._recovered = true;
       clearTimeout(this._recoveryTimer);
-      this._deps.events.notable('start', `Heard from ${from} what is known of this host.`, { hosts: this._deps.directory.all().length });
+      this._deps.events.notable('start', `Finished the recovery of this host's state (source: ${from}).`, {
+        hosts: this._deps.directory.all().length,
+      });
       this._deps.gate().endRecovery();
-      if (from !== 'nobody') {
+      if (from !== 'none') {
         this._deps.onRecovered();
       }
     }
   }
 }
 
-/** Whether the newer knowledge says something else; what is missing in it was only not seen yet. */
+/** Whether learned call ratios or internal routes differ; routes missing in `newer` have only not been seen yet. */
 function differs(newer: LearnedChains, older: LearnedChains | undefined): boolean {
   const calls = Object.entries(newer.calls).some(([route, ratios]) => {
     const known = older?.calls[route];
--- a/packages/mesh/src/app/records/recordSync.ts
+++ b/packages/mesh/src/app/records/recordSync.ts
@@ -3,16 +3,16 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Finds out that another daemon knows other records, by one number a zone, and asks it for those zones. */
+/** Compares one digest per zone with other daemons, and requests the records of the zones that differ. */
 
 import { monotonicMs, type TargetDirectory } from '@gentiandrum/core';
 import type { PeerLink } from '../../client/peerLink.js';
 import type { Digests } from '../../client/peerMessages.js';
 
-/** Shortest time between two requests, in milliseconds: records on their way make digests differ for a moment at every daemon. */
+/** Minimum time between two requests, in milliseconds; records in transit make digests differ for a moment. */
 const kRequestIntervalMs = 2_000;
 
-/** Keeps the records of one daemon like those of others. */
+/** Reconciles the records of one daemon with those of its peers. */
 export class RecordSync {
   private _requestedAt = -Infinity;
 
@@ -20,17 +20,17 @@
 
   constructor(private readonly _directory: TargetDirectory) {}
 
-  /** Whether all hosts that were known to the log, or to another daemon, have been known here. */
+  /** Whether this daemon has once known all hosts that the log or another daemon knew. */
   get complete(): boolean {
     return this._complete;
   }
 
-  /** All that the log has was read. */
+  /** Records that the log has been read in full. */
   markComplete(): void {
     this._complete = true;
   }
 
-  /** Takes the digests of the daemon at the other end of a link. */
+  /** Compares the digests of the daemon at the other end of a link with the local ones. */
   compare(digests: Digests, link: PeerLink): void {
     const now = monotonicMs();
     if (this._complete && now - this._requestedAt <= kRequestIntervalMs) {
