--- a/packages/mesh/src/app/calls/requestEntry.ts
+++ b/packages/mesh/src/app/calls/requestEntry.ts
@@ -57,7 +57,7 @@
     const progress = { cancelled: false };
     const advance = (step: IteratorResult<TokenRequest, EntryEnd>): void => {
       if (step.done !== true) {
-        this._deps.quotas.ask(step.value, (answer: TokenAnswer) => {
+        this._deps.quotas.request(step.value, (answer: TokenAnswer) => {
           advance(procedure.next(answer));
         });
         return;
@@ -81,7 +81,7 @@
   /** Returns the quota token of a request that has not run. */
   returnToken(workspace: RequestWorkspace | undefined): void {
     if (workspace?.token) {
-      this._deps.quotas.giveBack(workspace.name, workspace.token.host);
+      this._deps.quotas.returnToken(workspace.name, workspace.token.host);
     }
   }
 
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -106,7 +106,7 @@
     this._metricsServer = new HostServer(async (req) => serveSuspects(req, this._suspects) ?? (await this._serveMetrics()));
     this._configs = new ConfigHolder((cfg) => {
       this._calls.configure(cfg);
-      this._workspaces.inForce(cfg);
+      this._workspaces.configApplied(cfg);
       this._spreadVersion(cfg.version);
     }, _events);
     this._follower = new LogFollower(this._followerDeps());
@@ -135,7 +135,7 @@
       targets: (service) => this._directory.ready(service).length,
       isProbeTarget: (fingerprint, service) => trialTarget(fingerprint, this._directory.ready(service), kNoHosts)?.host === _settings.id,
       chargeMs: (route) => this._placement.chargeMs(route),
-      isKeyValid: (workspace) => this._workspaces.keyHolds(workspace),
+      isKeyValid: (workspace) => this._workspaces.isKeyValid(workspace),
       onChange: () => {
         this._records.updateOwn();
       },
@@ -275,9 +275,9 @@
       tables: () => this._configs.tables,
       suspensions: this._suspensions,
       ownProof: () => this._platform.configs.proof,
-      reads: () => this._follower.readsLog,
+      readsLog: () => this._follower.readsLog,
       readers: () => this._follower.readers,
-      complete: () => this._sync.complete,
+      allHostsKnown: () => this._sync.complete,
       sendTo: (host, message) => {
         this._network.sendTo(host, message);
       },
@@ -378,7 +378,7 @@
       wantsLink: (record) => this._follower.wantsLink(record),
       config: () => this._configs.config,
       onWorkspaceMessage: (message, link) => {
-        this._workspaces.take(message, link);
+        this._workspaces.receive(message, link);
       },
     };
   }
@@ -527,7 +527,7 @@
 
   private _hearReach(host: string, reached: boolean): void {
     this._follower.setReachable(host, reached);
-    this._workspaces.quotas.reached(host, reached);
+    this._workspaces.quotas.setReachable(host, reached);
     if (reached) {
       this._placement.reached(host);
     } else {
--- a/packages/mesh/src/app/meshMetrics.ts
+++ b/packages/mesh/src/app/meshMetrics.ts
@@ -176,7 +176,7 @@
       ['quota_buckets', quotas.buckets],
       ['quota_tokens_granted', quotas.granted],
       ['quota_tokens_denied', quotas.denied],
-      ['quota_tokens_given_back', quotas.givenBack],
+      ['quota_tokens_given_back', quotas.returned],
       ['quota_owners_unanswered', quotas.unanswered],
       ...[...logCalls].map(([kind, count]): [string, number] => [`log_calls_${kind}`, count]),
       ...[...hosts].map(([state, count]): [string, number] => [`hosts_${state}`, count]),
--- a/packages/mesh/src/app/workspaces/proofKeeper.ts
+++ b/packages/mesh/src/app/workspaces/proofTracker.ts
@@ -11,21 +11,21 @@
 import type { EventLog } from '../eventLog.js';
 
 /** Daemons of any zone that are asked at once while the proof is old. */
-const kAskedAtOnce = 3;
+const kParallelRequests = 3;
 /** First numbers of requests are drawn below this. */
-const kFirstIds = 2 ** 31;
+const kMaxFirstId = 2 ** 31;
 
 /** What the keeper uses of its daemon. */
-export interface ProofKeeperDeps {
+export interface ProofTrackerDeps {
   settings: RevocationSettings;
   /** What the own reads of the log prove. */
   ownProof(): VersionProof | undefined;
   /** Version of the configuration in force. */
   version(): number;
   /** Whether the configuration in force asks requests for keys. */
-  needed(): boolean;
+  keysRequired(): boolean;
   /** Whether this daemon follows the log. */
-  reads(): boolean;
+  readsLog(): boolean;
   /** Daemons that follow the log for this zone. */
   readers(): readonly string[];
   sendTo(host: string, message: PeerMessage): void;
@@ -36,14 +36,14 @@
 }
 
 /** Keeper of one daemon. */
-export class ProofKeeper {
+export class ProofTracker {
   private readonly _freshness: Freshness;
-  private _turn = 0;
+  private _nextReader = 0;
   private _stale = false;
   private _suspensions: number;
 
-  constructor(private readonly _deps: ProofKeeperDeps) {
-    this._freshness = new Freshness(_deps.settings, Math.floor(Math.random() * kFirstIds));
+  constructor(private readonly _deps: ProofTrackerDeps) {
+    this._freshness = new Freshness(_deps.settings, Math.floor(Math.random() * kMaxFirstId));
     this._suspensions = _deps.suspensions.count;
   }
 
@@ -55,59 +55,59 @@
 
   /** Until when requests with keys may be let in, on the monotonic clock. */
   validUntil(): number {
-    this._noteOwn();
+    this._applyOwnProof();
     return this._freshness.validUntil;
   }
 
   /** Whether the host was suspended, and nothing has proved the configuration fresh since. */
-  get waking(): boolean {
-    this._noteOwn();
+  get awaitsProof(): boolean {
+    this._applyOwnProof();
     return this._freshness.waking;
   }
 
   /** A version came into force. */
-  inForce(version: number): void {
+  configApplied(version: number): void {
     this._freshness.inForce(version);
   }
 
   /** Asks for a newer proof when it is due; called a few times a second. */
   check(): void {
     const deps = this._deps;
-    if (!deps.needed()) {
+    if (!deps.keysRequired()) {
       return;
     }
-    this._noteOwn();
+    this._applyOwnProof();
     const now = monotonicMs();
-    this._noteStale(now);
+    this._logStaleness(now);
     const known = deps.readers();
-    const whom = this._freshness.whomToAsk(now, deps.reads());
-    if (whom === 'none') {
+    const recipients = this._freshness.whomToAsk(now, deps.readsLog());
+    if (recipients === 'none') {
       return;
     }
     const message = { type: 'proof_wanted', id: this._freshness.request(now) } as const;
-    const reader = known[this._turn++ % Math.max(1, known.length)];
-    if (whom === 'readers' && reader !== undefined) {
+    const reader = known[this._nextReader++ % Math.max(1, known.length)];
+    if (recipients === 'readers' && reader !== undefined) {
       deps.sendTo(reader, message);
     } else {
-      deps.sendSome(kAskedAtOnce, message);
+      deps.sendSome(kParallelRequests, message);
     }
   }
 
   /** Answers another daemon; nothing when there is no proof. */
   replyTo(id: number): PeerMessage | undefined {
-    this._noteOwn();
+    this._applyOwnProof();
     const reply = this._freshness.reply(id, monotonicMs());
     return reply && { type: 'proof', ...reply };
   }
 
   /** Takes the answer of another daemon. */
-  take(reply: ProofReply): void {
-    this._noteSuspension();
+  receive(reply: ProofReply): void {
+    this._checkSuspension();
     this._freshness.noteReply(reply, this._deps.version());
   }
 
   /** Before anything that relies on a proof: a request may be the first thing that the process sees on waking up. */
-  private _noteSuspension(): void {
+  private _checkSuspension(): void {
     const { suspensions, events } = this._deps;
     const { count } = suspensions;
     if (count !== this._suspensions) {
@@ -117,15 +117,15 @@
     }
   }
 
-  private _noteOwn(): void {
-    this._noteSuspension();
+  private _applyOwnProof(): void {
+    this._checkSuspension();
     const proof = this._deps.ownProof();
     if (proof) {
       this._freshness.note(proof, this._deps.version());
     }
   }
 
-  private _noteStale(now: number): void {
+  private _logStaleness(now: number): void {
     const stale = this._freshness.validUntil <= now;
     if (stale !== this._stale) {
       this._stale = stale;
--- a/packages/mesh/src/app/workspaces/quotaService.ts
+++ b/packages/mesh/src/app/workspaces/quotaService.ts
@@ -22,7 +22,7 @@
 import type { EventLog } from '../eventLog.js';
 
 /** Time for the answer of an owner, in milliseconds: some tens of round trips, and well below the latency targets of callers. */
-const kAnswerMs = 100;
+const kOwnerTimeoutMs = 100;
 
 /** Margin by which the wall clocks of two starts on one host may differ, in milliseconds. */
 const kWindowMarginMs = 1_000;
@@ -32,14 +32,14 @@
   settings: MeshSettings;
   members: QuotaMembers;
   /** Whether all hosts are known: with a part of them unknown, shares would be too large. */
-  complete(): boolean;
+  allHostsKnown(): boolean;
   tables(): { version: number; workspaces: WorkspaceTable } | undefined;
   /** Sends to a host, over a link that is opened when there is none. */
   sendTo(host: string, message: PeerMessage): void;
   events: EventLog;
 }
 
-interface Pending {
+interface PendingRequest {
   host: string;
   workspace: string;
   expiresAt: number;
@@ -50,25 +50,25 @@
 export interface QuotaCounts {
   granted: number;
   denied: number;
-  givenBack: number;
+  returned: number;
   unanswered: number;
 }
 
 /** Tokens of one daemon. */
 export class QuotaService {
-  readonly counts: QuotaCounts = { granted: 0, denied: 0, givenBack: 0, unanswered: 0 };
-  private readonly _asker: QuotaAsker;
+  readonly counts: QuotaCounts = { granted: 0, denied: 0, returned: 0, unanswered: 0 };
+  private readonly _requester: QuotaAsker;
   private readonly _owner: QuotaOwner;
-  private readonly _pending = new Map<number, Pending>();
+  private readonly _pending = new Map<number, PendingRequest>();
   private _nextId = 1;
   private _timer: NodeJS.Timeout | undefined;
   /** Tokens to be given back, by host and workspace. */
-  private readonly _back = new Map<string, Map<string, number>>();
+  private readonly _returned = new Map<string, Map<string, number>>();
   private _revision: number;
 
   constructor(private readonly _deps: QuotaServiceDeps) {
     const { settings, members } = _deps;
-    this._asker = new QuotaAsker({ host: settings.id, zone: settings.zone }, members, settings.quotas, monotonicMs);
+    this._requester = new QuotaAsker({ host: settings.id, zone: settings.zone }, members, settings.quotas, monotonicMs);
     this._owner = new QuotaOwner(settings.quotas, monotonicMs());
     this._revision = members.revision;
   }
@@ -78,65 +78,65 @@
     return this._owner.size;
   }
 
-  /** Takes a token; a procedure to be driven with {@link ask}. */
+  /** Takes a token; a procedure to be driven with {@link request}. */
   take(workspace: string, limits: QuotaLimits): Generator<TokenRequest, QuotaEnd, TokenAnswer> {
-    return this._asker.take(workspace, limits);
+    return this._requester.take(workspace, limits);
   }
 
   /** Asks the owner of a part. The answer may come before this returns. */
-  ask({ workspace, part }: TokenRequest, done: (answer: TokenAnswer) => void): void {
+  request({ workspace, part }: TokenRequest, done: (answer: TokenAnswer) => void): void {
     if (part.host === this._deps.settings.id) {
       done(this._grant(workspace));
       return;
     }
     const id = this._nextId++;
-    this._pending.set(id, { host: part.host, workspace, expiresAt: monotonicMs() + kAnswerMs, done });
-    this._expireLater();
+    this._pending.set(id, { host: part.host, workspace, expiresAt: monotonicMs() + kOwnerTimeoutMs, done });
+    this._scheduleExpiry();
     this._deps.sendTo(part.host, { type: 'token_wanted', id, workspace });
   }
 
   /** A request that took a token of an owner did not run. */
-  giveBack(workspace: string, host: string): void {
-    this.counts.givenBack++;
+  returnToken(workspace: string, host: string): void {
+    this.counts.returned++;
     if (host === this._deps.settings.id) {
       this._owner.giveBack(workspace, 1, monotonicMs());
       return;
     }
-    const counts = this._back.get(host) ?? new Map<string, number>();
+    const counts = this._returned.get(host) ?? new Map<string, number>();
     counts.set(workspace, (counts.get(workspace) ?? 0) + 1);
-    this._back.set(host, counts);
+    this._returned.set(host, counts);
   }
 
   /** What another daemon is told that wants a token. */
-  answerTo(id: number, workspace: string): PeerMessage {
+  replyTo(id: number, workspace: string): PeerMessage {
     return { type: 'token', id, workspace, end: this._grant(workspace) };
   }
 
   /** Takes an owner's answer; a grant that comes too late goes back. */
-  answered(host: string, workspace: string, id: number, end: GrantEnd): void {
+  receiveGrant(host: string, workspace: string, id: number, end: GrantEnd): void {
     const pending = this._pending.get(id);
     if (pending) {
       this._pending.delete(id);
       pending.done(end);
     } else if (end !== 'not_owner' && end.granted) {
-      this.giveBack(workspace, host);
+      this.returnToken(workspace, host);
     }
   }
 
   /** Another daemon gives tokens back. */
-  takeBack(tokens: Readonly<Record<string, number>>): void {
+  acceptReturned(tokens: Readonly<Record<string, number>>): void {
     for (const [workspace, count] of Object.entries(tokens)) {
       this._owner.giveBack(workspace, count, monotonicMs());
     }
   }
 
   /** A host can be reached, or can't. */
-  reached(host: string, up: boolean): void {
-    this._asker.reached(host, up);
-    if (!up) {
+  setReachable(host: string, reachable: boolean): void {
+    this._requester.reached(host, reachable);
+    if (!reachable) {
       for (const [id, pending] of this._pending) {
         if (pending.host === host) {
-          this._giveUp(id, pending);
+          this._failPending(id, pending);
         }
       }
     }
@@ -146,11 +146,11 @@
    * Time since the start of the previous daemon on this host, in milliseconds; infinite without one. Parts begin with their reserve, unless
    * that daemon may have used it within the same window, and full in the first start of a deployment.
    */
-  notePredecessor(agoMs: number): void {
+  notePredecessor(elapsedMs: number): void {
     const { quotas, log } = this._deps.settings;
-    if (log.firstStart && agoMs === Infinity) {
+    if (log.firstStart && elapsedMs === Infinity) {
       this._owner.mayBeginFull();
-    } else if (agoMs > quotas.windowSeconds * 1_000 + kWindowMarginMs) {
+    } else if (elapsedMs > quotas.windowSeconds * 1_000 + kWindowMarginMs) {
       this._owner.mayBeginWithReserve();
     }
   }
@@ -158,10 +158,10 @@
   /** Gives back what is due; called a few times a second. */
   check(): void {
     this._noteMembers();
-    for (const [host, counts] of this._back) {
+    for (const [host, counts] of this._returned) {
       this._deps.sendTo(host, { type: 'tokens_back', tokens: Object.fromEntries(counts) });
     }
-    this._back.clear();
+    this._returned.clear();
   }
 
   /** Ends timers. */
@@ -178,17 +178,17 @@
 
   private _grant(workspace: string): GrantEnd {
     const tables = this._deps.tables();
-    const held = tables?.workspaces.get(workspace);
-    if (!tables || !held || !this._deps.complete()) {
+    const config = tables?.workspaces.get(workspace);
+    if (!tables || !config || !this._deps.allHostsKnown()) {
       return 'not_owner';
     }
-    const { ratePerSecond, burst } = held;
+    const { ratePerSecond, burst } = config;
     if (ratePerSecond === undefined) {
       return { granted: true };
     }
     this._noteMembers();
     const limits = { ratePerSecond, burst };
-    const part = this._asker.partOf(workspace, limits, this._deps.settings.id);
+    const part = this._requester.partOf(workspace, limits, this._deps.settings.id);
     const end = this._owner.take(workspace, part, limits, tables.version, monotonicMs());
     if (end !== 'not_owner') {
       this.counts[end.granted ? 'granted' : 'denied']++;
@@ -196,26 +196,26 @@
     return end;
   }
 
-  private _expireLater(): void {
+  private _scheduleExpiry(): void {
     this._timer ??= setTimeout(() => {
       this._timer = undefined;
       this._expire();
       if (this._pending.size > 0) {
-        this._expireLater();
+        this._scheduleExpiry();
       }
-    }, kAnswerMs / 2);
+    }, kOwnerTimeoutMs / 2);
   }
 
   private _expire(): void {
     const now = monotonicMs();
     for (const [id, pending] of this._pending) {
       if (now >= pending.expiresAt) {
-        this._giveUp(id, pending);
+        this._failPending(id, pending);
       }
     }
   }
 
-  private _giveUp(id: number, { host, done }: Pending): void {
+  private _failPending(id: number, { host, done }: PendingRequest): void {
     this._pending.delete(id);
     this.counts.unanswered++;
     this._deps.events.ordinary('workspaces', 'No answer of the owner of a quota.', () => ({ peer: host }));
--- a/packages/mesh/src/app/workspaces/workspaces.ts
+++ b/packages/mesh/src/app/workspaces/workspaces.ts
@@ -11,7 +11,7 @@
 import type { CallWorkspace } from '../../client/callCodec.js';
 import type { PeerMessage, WorkspaceMessage } from '../../client/peerMessages.js';
 import type { EventLog } from '../eventLog.js';
-import { ProofKeeper } from './proofKeeper.js';
+import { ProofTracker } from './proofTracker.js';
 import { QuotaService } from './quotaService.js';
 
 /** What workspaces use of their daemon. */
@@ -23,10 +23,10 @@
   /** What the own reads of the log prove. */
   ownProof(): VersionProof | undefined;
   /** Whether this daemon follows the log, and who else does for its zone. */
-  reads(): boolean;
+  readsLog(): boolean;
   readers(): readonly string[];
   /** Whether all hosts are known. */
-  complete(): boolean;
+  allHostsKnown(): boolean;
   sendTo(host: string, message: PeerMessage): void;
   /** The same, over a link that is opened when there is none. */
   sendOrDial(host: string, message: PeerMessage): void;
@@ -38,16 +38,16 @@
 
 /** The workspaces of one daemon. */
 export class Workspaces {
-  readonly proofs: ProofKeeper;
+  readonly proofs: ProofTracker;
   readonly quotas: QuotaService;
 
   constructor(private readonly _deps: WorkspacesDeps) {
     const { settings, directory } = _deps;
-    this.proofs = new ProofKeeper({
+    this.proofs = new ProofTracker({
       ..._deps,
       settings: settings.revocation,
       version: () => _deps.tables()?.version ?? -1,
-      needed: () => this.required,
+      keysRequired: () => this.required,
     });
     this.quotas = new QuotaService({
       ..._deps,
@@ -69,8 +69,8 @@
   }
 
   /** A version came into force. */
-  inForce({ version }: MeshConfig): void {
-    this.proofs.inForce(version);
+  configApplied({ version }: MeshConfig): void {
+    this.proofs.configApplied(version);
   }
 
   /** Asks for, and gives back, what is due; called a few times a second. */
@@ -88,8 +88,8 @@
    * Whether a key is still its workspace's: a version that this daemon doesn't know may say so, an older one than its own doesn't count.
    * A call may have waited in a socket while this host was suspended: after that it needs a proof of this daemon's own.
    */
-  keyHolds({ name, keyHash, version }: CallWorkspace): boolean {
-    if (this.proofs.waking) {
+  isKeyValid({ name, keyHash, version }: CallWorkspace): boolean {
+    if (this.proofs.awaitsProof) {
       return false;
     }
     const tables = this._deps.tables();
@@ -97,7 +97,7 @@
   }
 
   /** Takes a message of another daemon; answers go back over its link, so that none can be of another life. */
-  take(message: WorkspaceMessage, link: PeerLink): void {
+  receive(message: WorkspaceMessage, link: PeerLink): void {
     switch (message.type) {
       case 'proof_wanted': {
         const reply = this.proofs.replyTo(message.id);
@@ -107,16 +107,16 @@
         return;
       }
       case 'proof':
-        this.proofs.take(message);
+        this.proofs.receive(message);
         return;
       case 'token_wanted':
-        link.send(this.quotas.answerTo(message.id, message.workspace));
+        link.send(this.quotas.replyTo(message.id, message.workspace));
         return;
       case 'token':
-        this.quotas.answered(link.host, message.workspace, message.id, message.end);
+        this.quotas.receiveGrant(link.host, message.workspace, message.id, message.end);
         return;
       case 'tokens_back':
-        this.quotas.takeBack(message.tokens);
+        this.quotas.acceptReturned(message.tokens);
         return;
     }
   }
