--- a/packages/mesh/src/app/workspaces/proofTracker.ts
+++ b/packages/mesh/src/app/workspaces/proofTracker.ts
@@ -3,39 +3,39 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Keeps the proof of how fresh this daemon's configuration is: from its own reads of the log, and from other daemons. */
+/** Maintains the proof that this daemon's configuration is fresh, from its own reads of the log and from other daemons. */
 
 import { Freshness, monotonicMs, type ProofReply, type SuspensionWatch, type VersionProof } from '@gentiandrum/core';
 import type { RevocationSettings } from '@gentiandrum/protocol';
 import type { PeerMessage } from '../../client/peerMessages.js';
 import type { EventLog } from '../eventLog.js';
 
-/** Daemons of any zone that are asked at once while the proof is old. */
+/** Number of daemons of any zone that receive a request at the same time while the proof is old. */
 const kParallelRequests = 3;
-/** First numbers of requests are drawn below this. */
+/** Upper bound of the random first request id. */
 const kMaxFirstId = 2 ** 31;
 
-/** What the keeper uses of its daemon. */
+/** Daemon services that the proof tracker depends on. */
 export interface ProofTrackerDeps {
   settings: RevocationSettings;
-  /** What the own reads of the log prove. */
+  /** Proof from this daemon's own reads of the log. */
   ownProof(): VersionProof | undefined;
   /** Version of the configuration in force. */
   version(): number;
-  /** Whether the configuration in force asks requests for keys. */
+  /** Whether the configuration in force requires keys. */
   keysRequired(): boolean;
   /** Whether this daemon follows the log. */
   readsLog(): boolean;
   /** Daemons that follow the log for this zone. */
   readers(): readonly string[];
   sendTo(host: string, message: PeerMessage): void;
-  /** Sends to some linked daemons, drawn anew each time. */
+  /** Sends to `count` linked daemons, chosen at random for each message. */
   sendSome(count: number, message: PeerMessage): void;
   suspensions: SuspensionWatch;
   events: EventLog;
 }
 
-/** Keeper of one daemon. */
+/** Freshness proof of one daemon. */
 export class ProofTracker {
   private readonly _freshness: Freshness;
   private _nextReader = 0;
@@ -53,24 +53,24 @@
     return ageMs === Infinity ? -1 : ageMs / 1_000;
   }
 
-  /** Until when requests with keys may be let in, on the monotonic clock. */
+  /** Time until which requests with keys may be admitted, on the monotonic clock. */
   validUntil(): number {
     this._applyOwnProof();
     return this._freshness.validUntil;
   }
 
-  /** Whether the host was suspended, and nothing has proved the configuration fresh since. */
+  /** Whether no proof has arrived since the host was suspended. */
   get awaitsProof(): boolean {
     this._applyOwnProof();
     return this._freshness.waking;
   }
 
-  /** A version came into force. */
+  /** Records that a version came into force. */
   configApplied(version: number): void {
     this._freshness.inForce(version);
   }
 
-  /** Asks for a newer proof when it is due; called a few times a second. */
+  /** Requests a newer proof when needed; called several times per second. */
   check(): void {
     const deps = this._deps;
     if (!deps.keysRequired()) {
@@ -93,27 +93,29 @@
     }
   }
 
-  /** Answers another daemon; nothing when there is no proof. */
+  /** Response to the request of another daemon; undefined when there is no proof. */
   replyTo(id: number): PeerMessage | undefined {
     this._applyOwnProof();
     const reply = this._freshness.reply(id, monotonicMs());
     return reply && { type: 'proof', ...reply };
   }
 
-  /** Takes the answer of another daemon. */
+  /** Applies the response of another daemon. */
   receive(reply: ProofReply): void {
     this._checkSuspension();
     this._freshness.noteReply(reply, this._deps.version());
   }
 
-  /** Before anything that relies on a proof: a request may be the first thing that the process sees on waking up. */
+  /** Invalidates the proof after a suspension. Runs before each use, because a request may be the first event after a resume. */
   private _checkSuspension(): void {
     const { suspensions, events } = this._deps;
     const { count } = suspensions;
     if (count !== this._suspensions) {
       this._suspensions = count;
       this._freshness.suspended(monotonicMs());
-      events.notable('workspaces', 'The host was suspended: keys need a new proof.', { ms: Math.round(suspensions.lastMs) });
+      events.notable('workspaces', 'The host was suspended: requests with keys need a new freshness proof.', {
+        ms: Math.round(suspensions.lastMs),
+      });
     }
   }
 
@@ -130,7 +132,7 @@
     if (stale !== this._stale) {
       this._stale = stale;
       const ageMs = Math.round(this._freshness.ageMs(now));
-      const text = stale ? 'The configuration may be old: requests with keys are refused.' : 'The configuration is known to be fresh.';
+      const text = stale ? 'The configuration may be outdated: refusing requests with keys.' : 'The configuration is proven fresh.';
       this._deps.events.notable('workspaces', text, { ageMs, version: this._deps.version() });
     }
   }
--- a/packages/mesh/src/app/workspaces/quotaService.ts
+++ b/packages/mesh/src/app/workspaces/quotaService.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Carries requests for tokens of quotas to the daemons that own them, answers those of others, and gives back what did not run. */
+/** Requests quota tokens from the daemons that own them, grants tokens to other daemons, and returns unused ones. */
 
 import {
   type GrantEnd,
@@ -21,20 +21,20 @@
 import type { PeerMessage } from '../../client/peerMessages.js';
 import type { EventLog } from '../eventLog.js';
 
-/** Time for the answer of an owner, in milliseconds: some tens of round trips, and well below the latency targets of callers. */
+/** Timeout for the response of an owner, in milliseconds. */
 const kOwnerTimeoutMs = 100;
 
-/** Margin by which the wall clocks of two starts on one host may differ, in milliseconds. */
+/** Tolerated wall clock difference between two starts on one host, in milliseconds. */
 const kWindowMarginMs = 1_000;
 
-/** What the service uses of its daemon. */
+/** Daemon services that the quota service depends on. */
 export interface QuotaServiceDeps {
   settings: MeshSettings;
   members: QuotaMembers;
-  /** Whether all hosts are known: with a part of them unknown, shares would be too large. */
+  /** Whether all hosts are known; unknown hosts would make the shares of the others too large. */
   allHostsKnown(): boolean;
   tables(): { version: number; workspaces: WorkspaceTable } | undefined;
-  /** Sends to a host, over a link that is opened when there is none. */
+  /** Sends to a host; opens a link if there is none. */
   sendTo(host: string, message: PeerMessage): void;
   events: EventLog;
 }
@@ -46,7 +46,7 @@
   done: (answer: TokenAnswer) => void;
 }
 
-/** Counts since the start. */
+/** Token counts since the start. */
 export interface QuotaCounts {
   granted: number;
   denied: number;
@@ -54,7 +54,7 @@
   unanswered: number;
 }
 
-/** Tokens of one daemon. */
+/** Quota tokens of one daemon: those that it requests, and those that it grants as an owner. */
 export class QuotaService {
   readonly counts: QuotaCounts = { granted: 0, denied: 0, returned: 0, unanswered: 0 };
   private readonly _requester: QuotaAsker;
@@ -62,7 +62,7 @@
   private readonly _pending = new Map<number, PendingRequest>();
   private _nextId = 1;
   private _timer: NodeJS.Timeout | undefined;
-  /** Tokens to be given back, by host and workspace. */
+  /** Tokens to be returned at the next check, by host and workspace. */
   private readonly _returned = new Map<string, Map<string, number>>();
   private _revision: number;
 
@@ -73,17 +73,17 @@
     this._revision = members.revision;
   }
 
-  /** Workspaces that this daemon holds a bucket for. */
+  /** Number of workspaces that this daemon has a token bucket for. */
   get buckets(): number {
     return this._owner.size;
   }
 
-  /** Takes a token; a procedure to be driven with {@link request}. */
+  /** Procedure that takes a token; the caller passes each yielded request to {@link request}. */
   take(workspace: string, limits: QuotaLimits): Generator<TokenRequest, QuotaEnd, TokenAnswer> {
     return this._requester.take(workspace, limits);
   }
 
-  /** Asks the owner of a part. The answer may come before this returns. */
+  /** Requests a token from the owner of a share. `done` may be called before this returns. */
   request({ workspace, part }: TokenRequest, done: (answer: TokenAnswer) => void): void {
     if (part.host === this._deps.settings.id) {
       done(this._grant(workspace));
@@ -95,7 +95,7 @@
     this._deps.sendTo(part.host, { type: 'token_wanted', id, workspace });
   }
 
-  /** A request that took a token of an owner did not run. */
+  /** Returns a token to its owner, because its request did not run. */
   returnToken(workspace: string, host: string): void {
     this.counts.returned++;
     if (host === this._deps.settings.id) {
@@ -107,12 +107,12 @@
     this._returned.set(host, counts);
   }
 
-  /** What another daemon is told that wants a token. */
+  /** Response to the token request of another daemon. */
   replyTo(id: number, workspace: string): PeerMessage {
     return { type: 'token', id, workspace, end: this._grant(workspace) };
   }
 
-  /** Takes an owner's answer; a grant that comes too late goes back. */
+  /** Handles the response of an owner; returns the token of a grant that arrives after the timeout. */
   receiveGrant(host: string, workspace: string, id: number, end: GrantEnd): void {
     const pending = this._pending.get(id);
     if (pending) {
@@ -123,14 +123,14 @@
     }
   }
 
-  /** Another daemon gives tokens back. */
+  /** Accepts tokens that another daemon returns. */
   acceptReturned(tokens: Readonly<Record<string, number>>): void {
     for (const [workspace, count] of Object.entries(tokens)) {
       this._owner.giveBack(workspace, count, monotonicMs());
     }
   }
 
-  /** A host can be reached, or can't. */
+  /** Records whether a host is reachable; pending requests to an unreachable host fail at once. */
   setReachable(host: string, reachable: boolean): void {
     this._requester.reached(host, reachable);
     if (!reachable) {
@@ -143,8 +143,10 @@
   }
 
   /**
-   * Time since the start of the previous daemon on this host, in milliseconds; infinite without one. Parts begin with their reserve, unless
-   * that daemon may have used it within the same window, and full in the first start of a deployment.
+   * Sets the initial tokens of this daemon's shares. They start with their reserve, unless the previous daemon on this host may have used
+   * it within the same window, and full at the initial start of the deployment.
+   *
+   * @param elapsedMs time since the start of the previous daemon, in milliseconds; infinite without one
    */
   notePredecessor(elapsedMs: number): void {
     const { quotas, log } = this._deps.settings;
@@ -155,7 +157,7 @@
     }
   }
 
-  /** Gives back what is due; called a few times a second. */
+  /** Returns unused tokens; called several times per second. */
   check(): void {
     this._noteMembers();
     for (const [host, counts] of this._returned) {
@@ -164,7 +166,7 @@
     this._returned.clear();
   }
 
-  /** Ends timers. */
+  /** Stops the timer. */
   close(): void {
     clearTimeout(this._timer);
   }
@@ -218,7 +220,7 @@
   private _failPending(id: number, { host, done }: PendingRequest): void {
     this._pending.delete(id);
     this.counts.unanswered++;
-    this._deps.events.ordinary('workspaces', 'No answer of the owner of a quota.', () => ({ peer: host }));
+    this._deps.events.ordinary('workspaces', 'No response from the owner of a quota.', () => ({ peer: host }));
     done('no_answer');
   }
 }
--- a/packages/mesh/src/app/workspaces/workspaces.ts
+++ b/packages/mesh/src/app/workspaces/workspaces.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What one daemon does for workspaces beyond a single request: its proof of freshness, its parts of quotas, and messages about both. */
+/** Workspace state of one daemon: its freshness proof, its quota shares, and the messages about both. */
 
 import type { MeshConfig, MeshSettings } from '@gentiandrum/protocol';
 import type { RoutingTables, SuspensionWatch, TargetDirectory, VersionProof } from '@gentiandrum/core';
@@ -14,29 +14,30 @@
 import { ProofTracker } from './proofTracker.js';
 import { QuotaService } from './quotaService.js';
 
-/** What workspaces use of their daemon. */
+/** Daemon services that workspaces depend on. */
 export interface WorkspacesDeps {
   settings: MeshSettings;
   directory: TargetDirectory;
-  /** The configuration in force, ready for look-ups. */
+  /** Look-up tables of the configuration in force. */
   tables(): RoutingTables | undefined;
-  /** What the own reads of the log prove. */
+  /** Proof from this daemon's own reads of the log. */
   ownProof(): VersionProof | undefined;
-  /** Whether this daemon follows the log, and who else does for its zone. */
+  /** Whether this daemon follows the log for its zone. */
   readsLog(): boolean;
+  /** Other daemons that follow the log for this zone. */
   readers(): readonly string[];
   /** Whether all hosts are known. */
   allHostsKnown(): boolean;
   sendTo(host: string, message: PeerMessage): void;
-  /** The same, over a link that is opened when there is none. */
+  /** Sends to a host; opens a link if there is none. */
   sendOrDial(host: string, message: PeerMessage): void;
-  /** Sends to some linked daemons, drawn anew each time. */
+  /** Sends to `count` linked daemons, chosen at random for each message. */
   sendSome(count: number, message: PeerMessage): void;
   suspensions: SuspensionWatch;
   events: EventLog;
 }
 
-/** The workspaces of one daemon. */
+/** Keys and quotas of one daemon. */
 export class Workspaces {
   readonly proofs: ProofTracker;
   readonly quotas: QuotaService;
@@ -63,30 +64,31 @@
     });
   }
 
-  /** Whether requests need keys, but for those on exempt routes. */
+  /** Whether requests need keys, except on exempt routes. */
   get required(): boolean {
     return this._deps.tables()?.workspaces.required ?? false;
   }
 
-  /** A version came into force. */
+  /** Records that a configuration came into force. */
   configApplied({ version }: MeshConfig): void {
     this.proofs.configApplied(version);
   }
 
-  /** Asks for, and gives back, what is due; called a few times a second. */
+  /** Requests a proof if needed, and returns unused tokens; called several times per second. */
   check(): void {
     this.proofs.check();
     this.quotas.check();
   }
 
-  /** Ends timers. */
+  /** Stops timers. */
   close(): void {
     this.quotas.close();
   }
 
   /**
-   * Whether a key is still its workspace's: a version that this daemon doesn't know may say so, an older one than its own doesn't count.
-   * A call may have waited in a socket while this host was suspended: after that it needs a proof of this daemon's own.
+   * Whether a key still belongs to its workspace. A call with a version that is not older than the local one is trusted; otherwise the
+   * local configuration decides. After a suspension no key is valid until this daemon has a new proof, because the call may have waited
+   * in a socket meanwhile.
    */
   isKeyValid({ name, keyHash, version }: CallWorkspace): boolean {
     if (this.proofs.awaitsProof) {
@@ -96,7 +98,7 @@
     return tables === undefined || tables.version <= version || tables.workspaces.holds(name, keyHash);
   }
 
-  /** Takes a message of another daemon; answers go back over its link, so that none can be of another life. */
+  /** Handles a message of another daemon. Responses use the same link, so they never reach a restarted daemon. */
   receive(message: WorkspaceMessage, link: PeerLink): void {
     switch (message.type) {
       case 'proof_wanted': {
