--- a/packages/mesh/src/app/eventLog.ts
+++ b/packages/mesh/src/app/eventLog.ts
@@ -24,7 +24,7 @@
 
 interface Budget {
   perSecond: number;
-  left: number;
+  remaining: number;
   omitted: number;
 }
 
@@ -41,8 +41,8 @@
     ordinaryLinesPerSecond: number,
     notableLinesPerSecond = kNotableLinesPerSecond,
   ) {
-    this._ordinary = { perSecond: ordinaryLinesPerSecond, left: ordinaryLinesPerSecond, omitted: 0 };
-    this._notable = { perSecond: notableLinesPerSecond, left: notableLinesPerSecond, omitted: 0 };
+    this._ordinary = { perSecond: ordinaryLinesPerSecond, remaining: ordinaryLinesPerSecond, omitted: 0 };
+    this._notable = { perSecond: notableLinesPerSecond, remaining: notableLinesPerSecond, omitted: 0 };
     this._winston = createLogger({
       format: format.combine(format.timestamp(), format.json()),
       // The rule takes winston's own subclass for a stranger: its types come from two copies of one declaration.
@@ -58,38 +58,38 @@
 
   /** One of many alike, such as the end of a request that went well; its values are only made when the line is written. */
   ordinary(part: EventPart, text: string, fields: () => EventFields): void {
-    if (this._takes(this._ordinary)) {
+    if (this._consume(this._ordinary)) {
       this._write(this._ordinary, 'info', part, text, fields());
     }
   }
 
   /** A change of what the daemon believes, or a failed request. */
   notable(part: EventPart, text: string, fields: EventFields = {}): void {
-    if (this._takes(this._notable)) {
+    if (this._consume(this._notable)) {
       this._write(this._notable, 'info', part, text, fields);
     }
   }
 
   /** Something that an operator may have to look at. */
   warn(part: EventPart, text: string, fields: EventFields = {}): void {
-    if (this._takes(this._notable)) {
+    if (this._consume(this._notable)) {
       this._write(this._notable, 'warn', part, text, fields);
     }
   }
 
-  private _takes(budget: Budget): boolean {
+  private _consume(budget: Budget): boolean {
     const second = Math.floor(performance.now() / 1_000);
     if (second !== this._second) {
       this._second = second;
-      this._ordinary.left = this._ordinary.perSecond;
-      this._notable.left = this._notable.perSecond;
+      this._ordinary.remaining = this._ordinary.perSecond;
+      this._notable.remaining = this._notable.perSecond;
     }
-    if (budget.left <= 0 || process.stdout.writableLength > kMaxPendingBytes) {
+    if (budget.remaining <= 0 || process.stdout.writableLength > kMaxPendingBytes) {
       budget.omitted++;
       this._omitted++;
       return false;
     }
-    budget.left--;
+    budget.remaining--;
     return true;
   }
 
--- a/packages/mesh/src/app/latencyMetric.ts
+++ b/packages/mesh/src/app/latencyMetric.ts
@@ -14,7 +14,7 @@
 export type RequestOutcome = 'answered' | 'target_failed' | 'not_run' | 'lost' | 'timed_out' | Exclude<EntryEnd['kind'], 'admitted'>;
 
 /** Requests that ended alike. */
-export interface RequestEnds {
+export interface RequestTotals {
   service: string;
   outcome: RequestOutcome;
   reason: string;
@@ -38,12 +38,18 @@
   readonly type = 'histogram';
   readonly aggregator = 'sum';
 
-  constructor(private readonly _ends: ReadonlyMap<string, RequestEnds>) {}
+  constructor(private readonly _totals: ReadonlyMap<string, RequestTotals>) {}
 
   /** The values as of now. */
   get(): Promise<object> {
     const { name, help, type, aggregator } = this;
-    return Promise.resolve({ name, help, type, aggregator, values: [...this._ends.values()].flatMap((ends) => this._valuesOf(ends)) });
+    return Promise.resolve({
+      name,
+      help,
+      type,
+      aggregator,
+      values: [...this._totals.values()].flatMap((totals) => this._toValues(totals)),
+    });
   }
 
   /** The ends are never forgotten. */
@@ -51,12 +57,12 @@
     return undefined;
   }
 
-  private _valuesOf({ service, outcome, reason, count, seconds, buckets }: RequestEnds): HistogramValue[] {
+  private _toValues({ service, outcome, reason, count, seconds, buckets }: RequestTotals): HistogramValue[] {
     const labels = { service, outcome, reason };
-    let below = 0;
+    let cumulative = 0;
     const bounded = kLatencyBounds.map((bound, i) => {
-      below += buckets[i] ?? 0;
-      return { metricName: `${this.name}_bucket`, labels: { ...labels, le: bound }, value: below };
+      cumulative += buckets[i] ?? 0;
+      return { metricName: `${this.name}_bucket`, labels: { ...labels, le: bound }, value: cumulative };
     });
     return [
       ...bounded,
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -30,7 +30,7 @@
 import type { EventLog } from './eventLog.js';
 import { HostRecords, type HostRecordsDeps } from './records/hostRecords.js';
 import { LogFollower, type LogFollowerDeps } from './log/logFollower.js';
-import { type CallPlace, MeshMetrics, type MetricsView } from './meshMetrics.js';
+import { type TargetLocality, MeshMetrics, type MetricsView } from './meshMetrics.js';
 import { RecordSync } from './records/recordSync.js';
 import { RequestEntry } from './calls/requestEntry.js';
 import { logSuspectEvent } from './calls/logSuspectEvent.js';
@@ -40,13 +40,13 @@
 /** Longest time for which the answer to a leaving target waits until others know of it, in milliseconds: below one second. */
 const kAckWaitMs = 500;
 /** Time for callers to turn away from a daemon that stops, in milliseconds: two readiness checks, a second apart, and a margin. */
-const kTurnAwayMs = 2_300;
+const kDrainNoticeMs = 2_300;
 /** Time in which requests that crossed the close are still answered, in milliseconds. */
 const kLingerMs = 100;
 /** Part of the time for a stop that is left to spare, in milliseconds. */
 const kStopMarginMs = 400;
 /** How often a stop looks for what still runs, in milliseconds. */
-const kStopCheckMs = 20;
+const kStopPollMs = 20;
 /**
  * How often everything is looked at that goes by time, in milliseconds: levels, links, deadlines, connections. A few times within
  * the time that a change of a level takes to show; on one timer, as waking up costs more than the look.
@@ -58,15 +58,15 @@
  * How often what was learned of chains is compared with the record of this host, in milliseconds. Daemons that started together do
  * so together, and their records are read at once.
  */
-const kLearnedMs = 10_000;
+const kLearnedCheckMs = 10_000;
 /** How often the totals are logged, in milliseconds: a few lines a minute. */
-const kTotalsMs = 10_000;
+const kTotalsIntervalMs = 10_000;
 /** Targets that one line about those without calls names at most. */
-const kNamedTargets = 5;
+const kMaxLoggedTargets = 5;
 /** Daemons that one which reads nothing itself tells of a new version. */
-const kSpread = 4;
+const kVersionFanout = 4;
 /** Connections to a target until its service's limit is known. */
-const kAssumedConnections = 100;
+const kDefaultMaxConnections = 100;
 
 const kNoHosts: ReadonlySet<string> = new Set();
 
@@ -107,7 +107,7 @@
     this._configs = new ConfigHolder((cfg) => {
       this._calls.configure(cfg);
       this._workspaces.configApplied(cfg);
-      this._spreadVersion(cfg.version);
+      this._announceVersion(cfg.version);
     }, _events);
     this._follower = new LogFollower(this._followerDeps());
     this._workspaces = new Workspaces(this._workspacesDeps());
@@ -131,7 +131,7 @@
       names: dialect.headers,
       bound: _settings.retries,
       address: _settings.target.address,
-      maxConnections: (service) => this._configs.maxConnections(service) ?? kAssumedConnections,
+      maxConnections: (service) => this._configs.maxConnections(service) ?? kDefaultMaxConnections,
       targets: (service) => this._directory.ready(service).length,
       isProbeTarget: (fingerprint, service) => trialTarget(fingerprint, this._directory.ready(service), kNoHosts)?.host === _settings.id,
       chargeMs: (route) => this._placement.chargeMs(route),
@@ -185,14 +185,14 @@
     });
     this._records.start();
     this._follower.start();
-    this._tickLater(kTickMs);
+    this._scheduleTick(kTickMs);
     this._learnedTimer = setInterval(() => {
       this._records.updateLearned();
       this._suspects.prune();
-    }, kLearnedMs);
+    }, kLearnedCheckMs);
     this._totalsTimer = setInterval(() => {
       void this._logTotals();
-    }, kTotalsMs);
+    }, kTotalsIntervalMs);
     this._events.notable('start', 'Listening.', { ...listen, zone: this._settings.zone, service: this._settings.target.service });
   }
 
@@ -221,14 +221,14 @@
     this._events.notable('stop', 'A planned stop begins.', { calls: this._calls.inFlight, atGate: this._gate.pending });
     const latest = startedAt + this._settings.stopSeconds * 1_000 - kStopMarginMs;
     // The target goes on meanwhile: closing its gate at once would leave its slots empty while callers turn away.
-    await pause(kTurnAwayMs);
-    const goodbye = this._gate.advertisedState.state === 'gone' ? this._platform.records.erase(this._settings.id) : undefined;
+    await pause(kDrainNoticeMs);
+    const erased = this._gate.advertisedState.state === 'gone' ? this._platform.records.erase(this._settings.id) : undefined;
     this._gate.stop();
     // Runs of the own target may still call out through this daemon, on new connections too.
-    await waitUntil(monotonicMs(), startedAt + kTurnAwayMs * 2, () => this._gate.pending === 0);
+    await waitUntil(monotonicMs(), startedAt + kDrainNoticeMs * 2, () => this._gate.pending === 0);
     this._calls.close();
     await waitUntil(monotonicMs() + kLingerMs, latest, () => this._calls.inFlight + this._gate.pending === 0);
-    await Promise.race([goodbye, pause(kStopCheckMs)]);
+    await Promise.race([erased, pause(kStopPollMs)]);
     await this._network.leave();
     this._events.notable('stop', 'Stopped.', { calls: this._calls.inFlight, atGate: this._gate.pending });
   }
@@ -251,11 +251,11 @@
     this._gate.close();
   }
 
-  private _tickLater(ms: number): void {
+  private _scheduleTick(ms: number): void {
     const startedAt = monotonicMs();
     this._tickTimer = setTimeout(() => {
       this._tick(monotonicMs() - startedAt);
-      this._tickLater(this._calls.inFlight + this._gate.pending > 0 ? kTickMs : kIdleTickMs);
+      this._scheduleTick(this._calls.inFlight + this._gate.pending > 0 ? kTickMs : kIdleTickMs);
     }, ms);
   }
 
@@ -366,7 +366,7 @@
         this._directory.presumeGone(host);
       },
       onReach: (host, reached) => {
-        this._hearReach(host, reached);
+        this._setReachable(host, reached);
       },
       hello: () => ({
         type: 'hello',
@@ -407,7 +407,7 @@
       offer: (target, call, done) => this._offer(target, call, done),
       onOfferSent: (target, first) => {
         this._placement.sent(target.host);
-        this._metrics.placed(target.service, this._placeOf(target), !first);
+        this._metrics.placed(target.service, this._localityOf(target), !first);
       },
       onOfferResult: (host, route, end) => {
         this._placement.ended(host, route, end);
@@ -422,7 +422,7 @@
     return target.host === this._settings.id ? this._gate.offer(call, done) : this._network.offer(target, call, done);
   }
 
-  private _placeOf({ host, zone }: TargetRecord): CallPlace {
+  private _localityOf({ host, zone }: TargetRecord): TargetLocality {
     if (host === this._settings.id) {
       return 'own_host';
     }
@@ -442,28 +442,28 @@
 
   /** A target that leaves gets its answer once others know of it, so that the answer binds also after a crash here. */
   private async _serveAnnouncement({ method, path, body }: HostRequest): Promise<HostReply> {
-    const word = this._platform.dialect.readAnnouncement(method, path, body);
-    if (!word) {
+    const announcement = this._platform.dialect.readAnnouncement(method, path, body);
+    if (!announcement) {
       this._events.warn('target', 'Got something else than an announcement.', { method, path });
       return { status: 400 };
     }
-    if (!this._isOwnTarget(word)) {
-      const { service, address } = word.details ?? {};
+    if (!this._isLocalTarget(announcement)) {
+      const { service, address } = announcement.details ?? {};
       this._events.warn('target', 'Got the announcement of a target that is not this host’s.', {
-        instance: word.instance,
+        instance: announcement.instance,
         service,
         address,
       });
       return { status: 400 };
     }
-    if (this._gate.announce(word) && word.state !== 'ready') {
+    if (this._gate.announce(announcement) && announcement.state !== 'ready') {
       await Promise.race([this._records.published, pause(kAckWaitMs)]);
     }
     return { status: 200, body: '{}' };
   }
 
   /** Announcements may come from other writers: one of a service that no configuration names, or of another host, is not believed. */
-  private _isOwnTarget({ details }: Announcement): boolean {
+  private _isLocalTarget({ details }: Announcement): boolean {
     if (!details) {
       return true;
     }
@@ -480,17 +480,17 @@
       logCalls: Object.fromEntries(this._platform.logCalls()),
       reads: this._follower.readsLog,
     });
-    this._logPassedOver();
+    this._logExcludedTargets();
   }
 
   /** Why a host that is ready gets no calls from here: nothing else tells who holds what against it. */
-  private _logPassedOver(): void {
+  private _logExcludedTargets(): void {
     const ready = [...this._directory.values()].filter(({ state }) => state === 'ready');
     const targets = this._placement.passedOver(ready);
     if (targets.length > 0) {
       this._events.notable('calls', 'Targets are ready and get no calls from here.', {
         count: targets.length,
-        targets: targets.slice(0, kNamedTargets),
+        targets: targets.slice(0, kMaxLoggedTargets),
       });
     }
   }
@@ -509,7 +509,7 @@
       inFlight: this._calls.inFlight,
       omittedLines: this._events.omitted,
       logCalls: this._platform.logCalls(),
-      reads: this._follower.readsLog,
+      readsLog: this._follower.readsLog,
       proofAge: this._workspaces.proofs.ageSeconds,
       suspensions: this._suspensions.count,
       suspects: this._suspects.counts,
@@ -518,14 +518,14 @@
   }
 
   /** Readers tell their whole zone, others a few: those may be in reach of daemons that no reader reaches. */
-  private _spreadVersion(version: number): void {
+  private _announceVersion(version: number): void {
     if (this._follower.readsLog) {
       this._network.sendZone(this._settings.zone, { type: 'version', version });
     }
-    this._network.sendSome(kSpread, { type: 'version', version });
+    this._network.sendSome(kVersionFanout, { type: 'version', version });
   }
 
-  private _hearReach(host: string, reached: boolean): void {
+  private _setReachable(host: string, reached: boolean): void {
     this._follower.setReachable(host, reached);
     this._workspaces.quotas.setReachable(host, reached);
     if (reached) {
@@ -539,6 +539,6 @@
 /** Waits until a condition holds, from `earliest` on and not beyond `latest`, on the monotonic clock. */
 async function waitUntil(earliest: number, latest: number, holds: () => boolean): Promise<void> {
   while (monotonicMs() < latest && (monotonicMs() < earliest || !holds())) {
-    await pause(kStopCheckMs);
+    await pause(kStopPollMs);
   }
 }
--- a/packages/mesh/src/app/meshMetrics.ts
+++ b/packages/mesh/src/app/meshMetrics.ts
@@ -8,13 +8,13 @@
 import type { GateRefusal } from '@gentiandrum/core';
 import { Counter, Gauge, type Metric, Registry } from 'prom-client';
 import type { QuotaCounts } from './workspaces/quotaService.js';
-import { kLatencyBounds, LatencyMetric, type RequestEnds, type RequestOutcome } from './latencyMetric.js';
+import { kLatencyBounds, LatencyMetric, type RequestTotals, type RequestOutcome } from './latencyMetric.js';
 
 /** Workspaces that are counted by name: labels should have few values. */
 const kMaxWorkspaces = 100;
 
 /** Where the target of a call stands, as its ingress sees it. */
-export type CallPlace = 'own_host' | 'own_zone' | 'other_zone';
+export type TargetLocality = 'own_host' | 'own_zone' | 'other_zone';
 
 /** Values that are read when metrics are asked for. */
 export interface MetricsView {
@@ -30,7 +30,7 @@
   /** Calls made to the platform's log, by kind. */
   logCalls: ReadonlyMap<string, number>;
   /** Whether this daemon follows the log for its zone. */
-  reads: boolean;
+  readsLog: boolean;
   /** Log lines left out since the start. */
   omittedLines: number;
   /** Age of the proof that the configuration is fresh, in seconds; -1 without one. */
@@ -56,10 +56,10 @@
   private readonly _repeats = this._counter('gate_repeats_total', 'Repeats that the gate of this host let in', []);
   private readonly _crashes = this._counter('target_crashes_total', 'Ends of this host’s target while requests ran on it', []);
   /** Ends of requests and offers by their labels; the library hashes labels with each note, so they are handed over when read. */
-  private readonly _ends = new Map<string, RequestEnds>();
-  private readonly _placed = new Map<string, Placed>();
+  private readonly _requestTotals = new Map<string, RequestTotals>();
+  private readonly _placementTotals = new Map<string, PlacementTotals>();
   private readonly _workspaces = new Map<string, Map<RequestOutcome, number>>();
-  private readonly _ofWorkspaces = this._counter('workspace_requests_total', 'Requests of a workspace that ended at this ingress', [
+  private readonly _workspaceRequests = this._counter('workspace_requests_total', 'Requests of a workspace that ended at this ingress', [
     'workspace',
     'outcome',
   ]);
@@ -75,22 +75,22 @@
     private readonly _view: () => MetricsView,
   ) {
     this._registry.setDefaultLabels({ zone });
-    this._registry.registerMetric(new LatencyMetric(this._ends) as unknown as Metric);
+    this._registry.registerMetric(new LatencyMetric(this._requestTotals) as unknown as Metric);
   }
 
   /** Notes the end of a request; `reason` is one of a closed list. */
   requestEnded(service: string, outcome: RequestOutcome, reason: string, seconds: number): void {
     const key = `${service} ${outcome} ${reason}`;
-    let ends = this._ends.get(key);
-    if (!ends) {
-      ends = { service, outcome, reason, count: 0, seconds: 0, buckets: kLatencyBounds.map(() => 0) };
-      this._ends.set(key, ends);
+    let totals = this._requestTotals.get(key);
+    if (!totals) {
+      totals = { service, outcome, reason, count: 0, seconds: 0, buckets: kLatencyBounds.map(() => 0) };
+      this._requestTotals.set(key, totals);
     }
-    ends.count++;
-    ends.seconds += seconds;
+    totals.count++;
+    totals.seconds += seconds;
     const bucket = kLatencyBounds.findIndex((bound) => seconds <= bound);
     if (bucket >= 0) {
-      ends.buckets[bucket] = (ends.buckets[bucket] ?? 0) + 1;
+      totals.buckets[bucket] = (totals.buckets[bucket] ?? 0) + 1;
     }
   }
 
@@ -109,14 +109,14 @@
   }
 
   /** Notes an offer of a call to a target; `afterRefusal` when an earlier one of the same request was refused or lost. */
-  placed(service: string, place: CallPlace, afterRefusal: boolean): void {
+  placed(service: string, place: TargetLocality, afterRefusal: boolean): void {
     const key = `${service} ${place} ${afterRefusal}`;
-    let placed = this._placed.get(key);
-    if (!placed) {
-      placed = { service, place, afterRefusal, count: 0 };
-      this._placed.set(key, placed);
+    let totals = this._placementTotals.get(key);
+    if (!totals) {
+      totals = { service, place, afterRefusal, count: 0 };
+      this._placementTotals.set(key, totals);
     }
-    placed.count++;
+    totals.count++;
   }
 
   /** Notes that the target of this host ended while requests ran on it. */
@@ -133,15 +133,15 @@
   async totals(): Promise<{ requests: Record<string, number>; placements: Record<string, number>; refusals: Record<string, number> }> {
     const refusals = await this._refusals.get();
     return {
-      requests: sumBy(this._ends.values(), ({ outcome }) => outcome),
-      placements: sumBy(this._placed.values(), ({ place, afterRefusal }) => `${place}${afterRefusal ? ' after a refusal' : ''}`),
+      requests: sumBy(this._requestTotals.values(), ({ outcome }) => outcome),
+      placements: sumBy(this._placementTotals.values(), ({ place, afterRefusal }) => `${place}${afterRefusal ? ' after a refusal' : ''}`),
       refusals: Object.fromEntries(refusals.values.map(({ labels, value }) => [String(labels.reason), value])),
     };
   }
 
   /** Everything as text. */
   async text(): Promise<string> {
-    this._handOver();
+    this._updateCounters();
     const {
       gate,
       hosts,
@@ -151,7 +151,7 @@
       inFlight,
       omittedLines,
       logCalls,
-      reads,
+      readsLog,
       proofAge,
       suspensions,
       suspects,
@@ -168,7 +168,7 @@
       ['config_age_seconds', configAge],
       ['requests_in_flight', inFlight],
       ['log_lines_omitted', omittedLines],
-      ['reads_log', reads ? 1 : 0],
+      ['reads_log', readsLog ? 1 : 0],
       ['proof_age_seconds', proofAge],
       ['suspensions', suspensions],
       ['kinds_suspected', suspects.suspected],
@@ -188,19 +188,19 @@
     return this._registry.metrics();
   }
 
-  private _handOver(): void {
+  private _updateCounters(): void {
     this._requests.reset();
     this._placements.reset();
-    this._ofWorkspaces.reset();
+    this._workspaceRequests.reset();
     for (const [workspace, outcomes] of this._workspaces) {
       for (const [outcome, count] of outcomes) {
-        this._ofWorkspaces.inc({ workspace, outcome }, count);
+        this._workspaceRequests.inc({ workspace, outcome }, count);
       }
     }
-    for (const { service, outcome, reason, count } of this._ends.values()) {
+    for (const { service, outcome, reason, count } of this._requestTotals.values()) {
       this._requests.inc({ service, outcome, reason }, count);
     }
-    for (const { service, place, afterRefusal, count } of this._placed.values()) {
+    for (const { service, place, afterRefusal, count } of this._placementTotals.values()) {
       this._placements.inc({ service, place, after_refusal: String(afterRefusal) }, count);
     }
   }
@@ -210,9 +210,9 @@
   }
 }
 
-interface Placed {
+interface PlacementTotals {
   service: string;
-  place: CallPlace;
+  place: TargetLocality;
   afterRefusal: boolean;
   count: number;
 }
--- a/packages/mesh/src/app/runMesh.ts
+++ b/packages/mesh/src/app/runMesh.ts
@@ -15,7 +15,7 @@
 export const kMeshExit = { ok: 0, failed: 1, badSettings: 2 } as const;
 
 /** Runs a daemon until it is told to stop; `adapt` makes the platform's adapter from the settings. */
-export async function runMesh(settingsFile: string, adapt: (settings: MeshSettings, events: EventLog) => Platform): Promise<void> {
+export async function runMesh(settingsFile: string, createPlatform: (settings: MeshSettings, events: EventLog) => Platform): Promise<void> {
   const settings = readSettings(settingsFile);
   if (!settings) {
     process.exitCode = kMeshExit.badSettings;
@@ -28,7 +28,7 @@
   process.on('uncaughtException', (err) => {
     events.warn('start', 'A fault of the daemon was not handled.', { err: err.stack });
   });
-  const daemon = new MeshDaemon(settings, adapt(settings, events), events);
+  const daemon = new MeshDaemon(settings, createPlatform(settings, events), events);
   process.on('SIGHUP', () => {
     reload(settingsFile, settings, events);
   });
