--- a/packages/mesh/src/app/eventLog.ts
+++ b/packages/mesh/src/app/eventLog.ts
@@ -4,22 +4,21 @@
  */
 
 /**
- * Structured log lines on standard output, bounded: ordinary lines take from a budget a second, and what was left out is
- * counted in the next line. Changes of belief and failures have a budget of their own, so that the ordinary can't displace
- * them.
+ * Writes structured, rate-limited log lines to standard output. Ordinary lines have a separate budget from state changes and failures,
+ * so they cannot displace them. The next line written reports the number of omitted lines.
  */
 
 import { createLogger, format, type Logger as WinstonLogger, transports } from 'winston';
 
-/** Parts of the daemon, the fixed prefixes of its log lines. */
+/** Parts of the daemon, used as prefixes of log lines. */
 export type EventPart = 'calls' | 'config' | 'gate' | 'log' | 'peers' | 'quarantine' | 'start' | 'stop' | 'target' | 'workspaces';
 
-/** Values that go with a line. */
+/** Structured fields of a log line. */
 export type EventFields = Record<string, unknown>;
 
-/** Lines about failures and changes of belief that may be written in one second. */
+/** Maximum number of lines about failures and state changes per second. */
 const kNotableLinesPerSecond = 30;
-/** Bytes that may wait for a slow reader of standard output; beyond them lines are left out. */
+/** Maximum number of bytes buffered for a slow reader of standard output; lines beyond it are omitted. */
 const kMaxPendingBytes = 256 * 1024;
 
 interface Budget {
@@ -28,7 +27,7 @@
   omitted: number;
 }
 
-/** Writes the log lines of one daemon. */
+/** Logger of one daemon. */
 export class EventLog {
   private readonly _winston: WinstonLogger;
   private readonly _ordinary: Budget;
@@ -45,32 +44,32 @@
     this._notable = { perSecond: notableLinesPerSecond, remaining: notableLinesPerSecond, omitted: 0 };
     this._winston = createLogger({
       format: format.combine(format.timestamp(), format.json()),
-      // The rule takes winston's own subclass for a stranger: its types come from two copies of one declaration.
+      // The lint rule does not recognize winston's own subclass, because its types come from two copies of one declaration.
       // eslint-disable-next-line @typescript-eslint/no-unsafe-class-instance-assignment
       transports: [new transports.Stream({ stream: process.stdout })],
     });
   }
 
-  /** Lines left out since the start. */
+  /** Number of lines omitted since the start. */
   get omitted(): number {
     return this._omitted;
   }
 
-  /** One of many alike, such as the end of a request that went well; its values are only made when the line is written. */
+  /** Logs a frequent event, such as a successful request; `fields` is called only if the line is written. */
   ordinary(part: EventPart, text: string, fields: () => EventFields): void {
     if (this._consume(this._ordinary)) {
       this._write(this._ordinary, 'info', part, text, fields());
     }
   }
 
-  /** A change of what the daemon believes, or a failed request. */
+  /** Logs a state change or a failed request. */
   notable(part: EventPart, text: string, fields: EventFields = {}): void {
     if (this._consume(this._notable)) {
       this._write(this._notable, 'info', part, text, fields);
     }
   }
 
-  /** Something that an operator may have to look at. */
+  /** Logs a problem that may need the attention of an operator. */
   warn(part: EventPart, text: string, fields: EventFields = {}): void {
     if (this._consume(this._notable)) {
       this._write(this._notable, 'warn', part, text, fields);
--- a/packages/mesh/src/app/latencyMetric.ts
+++ b/packages/mesh/src/app/latencyMetric.ts
@@ -3,25 +3,25 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Latency histogram of requests, in the form that the metrics library serves. */
+/** Latency histogram of requests, in the format of the metrics library. */
 
 import type { EntryEnd } from '@gentiandrum/core';
 
-/** Bounds of the latency histogram, in seconds: from a call on the same host to the longest limits of routes. */
+/** Bucket bounds of the latency histogram, in seconds. */
 export const kLatencyBounds = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
 
-/** How a request ended at the ingress. */
+/** Outcome of a request at the ingress. */
 export type RequestOutcome = 'answered' | 'target_failed' | 'not_run' | 'lost' | 'timed_out' | Exclude<EntryEnd['kind'], 'admitted'>;
 
-/** Requests that ended alike. */
+/** Totals of the requests with the same labels. */
 export interface RequestTotals {
   service: string;
   outcome: RequestOutcome;
   reason: string;
   count: number;
-  /** Sum of the times. */
+  /** Sum of the request times. */
   seconds: number;
-  /** Requests by the least bound of the histogram that holds their time. */
+  /** Number of requests per bucket, not cumulative; longer ones are only in `count`. */
   buckets: number[];
 }
 
@@ -31,7 +31,7 @@
   value: number;
 }
 
-/** Latency histogram in the library's form, from the ends that were noted. */
+/** Histogram in the format of the metrics library, built from request totals. */
 export class LatencyMetric {
   readonly name = 'gentiandrum_request_seconds';
   readonly help = 'Time from the last byte of a request to its final answer';
@@ -40,7 +40,7 @@
 
   constructor(private readonly _totals: ReadonlyMap<string, RequestTotals>) {}
 
-  /** The values as of now. */
+  /** Current values. */
   get(): Promise<object> {
     const { name, help, type, aggregator } = this;
     return Promise.resolve({
@@ -52,7 +52,7 @@
     });
   }
 
-  /** The ends are never forgotten. */
+  /** Does nothing: totals are kept for the life of the process. */
   reset(): void {
     return undefined;
   }
--- a/packages/mesh/src/app/loadMeshSettings.ts
+++ b/packages/mesh/src/app/loadMeshSettings.ts
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Reads and checks the settings of a routing daemon. */
+/** Loads and validates the settings of a routing daemon. */
 
 import { readFileSync } from 'node:fs';
 import { type MeshSettings, meshSettingsSchema } from '@gentiandrum/protocol';
 import { parse } from 'yaml';
 
-/** Reads a settings file; throws with every fault at once, each with its path, if there are any. */
+/** Loads a settings file; throws an error that lists all faults with their paths. */
 export function loadMeshSettings(file: string): MeshSettings {
   const checked = meshSettingsSchema.safeParse(parse(readFileSync(file, 'utf8')));
   if (checked.success) {
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** One routing daemon: puts its parts together, starts them, and stops them in order. */
+/** Routing daemon: creates, connects, starts and stops its components. */
 
 import { setTimeout as pause } from 'node:timers/promises';
 import {
@@ -37,40 +37,34 @@
 import { type OfferDone, type OfferHandle, TargetGate } from './calls/targetGate.js';
 import { Workspaces, type WorkspacesDeps } from './workspaces/workspaces.js';
 
-/** Longest time for which the answer to a leaving target waits until others know of it, in milliseconds: below one second. */
+/** Maximum time that the response to a draining target waits for the state to become durable, in milliseconds. */
 const kAckWaitMs = 500;
-/** Time for callers to turn away from a daemon that stops, in milliseconds: two readiness checks, a second apart, and a margin. */
+/** Time for callers to stop sending requests to a daemon that shuts down, in milliseconds: two readiness checks and a margin. */
 const kDrainNoticeMs = 2_300;
-/** Time in which requests that crossed the close are still answered, in milliseconds. */
+/** Minimum time for which requests that arrive during the close are served, in milliseconds. */
 const kLingerMs = 100;
-/** Part of the time for a stop that is left to spare, in milliseconds. */
+/** Part of the shutdown time that is kept as a reserve, in milliseconds. */
 const kStopMarginMs = 400;
-/** How often a stop looks for what still runs, in milliseconds. */
+/** Interval between checks for running calls during a shutdown, in milliseconds. */
 const kStopPollMs = 20;
-/**
- * How often everything is looked at that goes by time, in milliseconds: levels, links, deadlines, connections. A few times within
- * the time that a change of a level takes to show; on one timer, as waking up costs more than the look.
- */
+/** Interval between the periodic checks of levels, links, deadlines and connections, in milliseconds. */
 const kTickMs = 100;
-/** The same while no call is under way: waking up is half of what an idle daemon costs. */
+/** The same interval while no call is in flight, in milliseconds; longer, to reduce the cost of an idle daemon. */
 const kIdleTickMs = 200;
-/**
- * How often what was learned of chains is compared with the record of this host, in milliseconds. Daemons that started together do
- * so together, and their records are read at once.
- */
+/** Interval between comparisons of the learned call chains with the record of this host, in milliseconds. */
 const kLearnedCheckMs = 10_000;
-/** How often the totals are logged, in milliseconds: a few lines a minute. */
+/** Interval between log lines with totals, in milliseconds. */
 const kTotalsIntervalMs = 10_000;
-/** Targets that one line about those without calls names at most. */
+/** Maximum number of targets listed in the log line about excluded targets. */
 const kMaxLoggedTargets = 5;
-/** Daemons that one which reads nothing itself tells of a new version. */
+/** Number of daemons that each daemon notifies of a new version. */
 const kVersionFanout = 4;
-/** Connections to a target until its service's limit is known. */
+/** Connection limit of a target until the configuration provides one. */
 const kDefaultMaxConnections = 100;
 
 const kNoHosts: ReadonlySet<string> = new Set();
 
-/** One routing daemon. */
+/** Routing daemon of one host. */
 export class MeshDaemon {
   private readonly _directory = new TargetDirectory();
   private readonly _sync = new RecordSync(this._directory);
@@ -120,7 +114,7 @@
       },
       note: (event) => {
         logSuspectEvent(_events, event);
-        // Once what is being learned now is all there.
+        // Deferred until the current update of the suspects is complete.
         setImmediate(() => {
           this._records.updateSuspects();
         });
@@ -150,33 +144,33 @@
     this._announcements = new HostServer((req) => this._serveAnnouncement(req));
   }
 
-  /** Whether callers should be sent here. */
+  /** Whether this daemon reports itself ready to callers. */
   get ready(): boolean {
     return this._configs.config !== undefined && this._records.recovered && !this._stopping;
   }
 
-  /** The record of this host as other daemons should know it. */
+  /** Record of this host as published to other daemons. */
   get record(): TargetRecord {
     return this._records.own;
   }
 
-  /** Other daemons that a link is open to. */
+  /** Number of other daemons with an open link. */
   get reachable(): number {
     return this._network.reachable;
   }
 
-  /** Whether a record of a host is known. */
+  /** Whether this daemon has a record of a host. */
   knows(host: string): boolean {
     return this._directory.get(host) !== undefined;
   }
 
-  /** Listens, and begins to learn. */
+  /** Opens all listeners, and starts to read the log and to connect to other daemons. */
   async start(): Promise<void> {
     const { listen } = this._settings;
     try {
       await this._listen();
     } catch (err) {
-      // What listens already would keep the process alive, and callers waiting for answers.
+      // Listeners that are already open would keep the process alive, and would leave callers waiting.
       this.close();
       throw err;
     }
@@ -211,20 +205,20 @@
     }
   }
 
-  /** Planned stop: resolves once callers have turned away and nothing is in flight, or time is up. */
+  /** Shuts down gracefully; resolves once no call is in flight, or the shutdown time is over. */
   async stop(): Promise<void> {
     if (this._stopping) {
       return;
     }
     this._stopping = true;
     const startedAt = monotonicMs();
-    this._events.notable('stop', 'A planned stop begins.', { calls: this._calls.inFlight, atGate: this._gate.pending });
+    this._events.notable('stop', 'Graceful shutdown started.', { calls: this._calls.inFlight, atGate: this._gate.pending });
     const latest = startedAt + this._settings.stopSeconds * 1_000 - kStopMarginMs;
-    // The target goes on meanwhile: closing its gate at once would leave its slots empty while callers turn away.
+    // The gate stays open meanwhile, because closing it at once would leave the target idle until callers switch to other daemons.
     await pause(kDrainNoticeMs);
     const erased = this._gate.advertisedState.state === 'gone' ? this._platform.records.erase(this._settings.id) : undefined;
     this._gate.stop();
-    // Runs of the own target may still call out through this daemon, on new connections too.
+    // Calls that run on the local target may still send requests through this daemon, on new connections too.
     await waitUntil(monotonicMs(), startedAt + kDrainNoticeMs * 2, () => this._gate.pending === 0);
     this._calls.close();
     await waitUntil(monotonicMs() + kLingerMs, latest, () => this._calls.inFlight + this._gate.pending === 0);
@@ -233,7 +227,7 @@
     this._events.notable('stop', 'Stopped.', { calls: this._calls.inFlight, atGate: this._gate.pending });
   }
 
-  /** Ends timers and connections. */
+  /** Stops timers and closes connections. */
   close(): void {
     this._records.stop();
     this._follower.stop();
@@ -440,16 +434,16 @@
     return { status: this.ready ? 200 : 503 };
   }
 
-  /** A target that leaves gets its answer once others know of it, so that the answer binds also after a crash here. */
+  /** Responds to a draining target once its state is durable, or after a timeout, so that the acknowledged state survives a crash. */
   private async _serveAnnouncement({ method, path, body }: HostRequest): Promise<HostReply> {
     const announcement = this._platform.dialect.readAnnouncement(method, path, body);
     if (!announcement) {
-      this._events.warn('target', 'Got something else than an announcement.', { method, path });
+      this._events.warn('target', 'Rejected a request: expected an announcement.', { method, path });
       return { status: 400 };
     }
     if (!this._isLocalTarget(announcement)) {
       const { service, address } = announcement.details ?? {};
-      this._events.warn('target', 'Got the announcement of a target that is not this host’s.', {
+      this._events.warn('target', 'Rejected an announcement: expected the target of this host.', {
         instance: announcement.instance,
         service,
         address,
@@ -462,7 +456,7 @@
     return { status: 200, body: '{}' };
   }
 
-  /** Announcements may come from other writers: one of a service that no configuration names, or of another host, is not believed. */
+  /** Whether an announcement may be from this host's target: its service is configured, and its address is on this host. */
   private _isLocalTarget({ details }: Announcement): boolean {
     if (!details) {
       return true;
@@ -483,12 +477,12 @@
     this._logExcludedTargets();
   }
 
-  /** Why a host that is ready gets no calls from here: nothing else tells who holds what against it. */
+  /** Logs the ready targets that receive no calls from this daemon, with their routing statistics. */
   private _logExcludedTargets(): void {
     const ready = [...this._directory.values()].filter(({ state }) => state === 'ready');
     const targets = this._placement.passedOver(ready);
     if (targets.length > 0) {
-      this._events.notable('calls', 'Targets are ready and get no calls from here.', {
+      this._events.notable('calls', 'Ready targets receive no calls from this daemon.', {
         count: targets.length,
         targets: targets.slice(0, kMaxLoggedTargets),
       });
@@ -517,7 +511,7 @@
     };
   }
 
-  /** Readers tell their whole zone, others a few: those may be in reach of daemons that no reader reaches. */
+  /** Readers notify their whole zone. Every daemon notifies a few others, which may reach daemons that no reader reaches. */
   private _announceVersion(version: number): void {
     if (this._follower.readsLog) {
       this._network.sendZone(this._settings.zone, { type: 'version', version });
@@ -536,7 +530,7 @@
   }
 }
 
-/** Waits until a condition holds, from `earliest` on and not beyond `latest`, on the monotonic clock. */
+/** Waits until a condition holds: at least until `earliest`, and at most until `latest`, on the monotonic clock. */
 async function waitUntil(earliest: number, latest: number, holds: () => boolean): Promise<void> {
   while (monotonicMs() < latest && (monotonicMs() < earliest || !holds())) {
     await pause(kStopPollMs);
--- a/packages/mesh/src/app/meshMetrics.ts
+++ b/packages/mesh/src/app/meshMetrics.ts
@@ -3,43 +3,43 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Counters, gauges and latency histograms of a routing daemon, served as text. Labels have few values, whatever callers send. */
+/** Prometheus metrics of a routing daemon. The number of label values is bounded, whatever callers send. */
 
 import type { GateRefusal } from '@gentiandrum/core';
 import { Counter, Gauge, type Metric, Registry } from 'prom-client';
 import type { QuotaCounts } from './workspaces/quotaService.js';
 import { kLatencyBounds, LatencyMetric, type RequestTotals, type RequestOutcome } from './latencyMetric.js';
 
-/** Workspaces that are counted by name: labels should have few values. */
+/** Maximum number of workspaces with their own label value. */
 const kMaxWorkspaces = 100;
 
-/** Where the target of a call stands, as its ingress sees it. */
+/** Location of a call's target relative to its ingress. */
 export type TargetLocality = 'own_host' | 'own_zone' | 'other_zone';
 
-/** Values that are read when metrics are asked for. */
+/** Values that are read for each metrics request. */
 export interface MetricsView {
   gate: { inFlight: number; queued: number; limit: number; level: number; meanMs: number };
-  /** Hosts by the state of their target. */
+  /** Number of hosts by the state of their target. */
   hosts: ReadonlyMap<string, number>;
   links: number;
   configVersion: number;
-  /** Age of the configuration in force since it was taken, in seconds. */
+  /** Time since the configuration in force was applied, in seconds. */
   configAge: number;
-  /** Requests without an answer at this ingress. */
+  /** Number of requests in flight at this ingress. */
   inFlight: number;
-  /** Calls made to the platform's log, by kind. */
+  /** Number of calls to the platform's log, by kind. */
   logCalls: ReadonlyMap<string, number>;
   /** Whether this daemon follows the log for its zone. */
   readsLog: boolean;
-  /** Log lines left out since the start. */
+  /** Number of log lines omitted since the start. */
   omittedLines: number;
-  /** Age of the proof that the configuration is fresh, in seconds; -1 without one. */
+  /** Age of the freshness proof of the configuration, in seconds; -1 without one. */
   proofAge: number;
-  /** Suspensions of the host since the start. */
+  /** Number of suspensions of the host since the start. */
   suspensions: number;
-  /** Kinds of requests that targets may have ended by, and how many of them are held back. */
+  /** Number of suspected request fingerprints, and how many of them are quarantined. */
   suspects: { suspected: number; held: number };
-  /** Buckets of quotas held here, and what became of tokens since the start. */
+  /** Number of quota buckets of this daemon, and token counts since the start. */
   quotas: QuotaCounts & { buckets: number };
 }
 
@@ -55,7 +55,7 @@
   ]);
   private readonly _repeats = this._counter('gate_repeats_total', 'Repeats that the gate of this host let in', []);
   private readonly _crashes = this._counter('target_crashes_total', 'Ends of this host’s target while requests ran on it', []);
-  /** Ends of requests and offers by their labels; the library hashes labels with each note, so they are handed over when read. */
+  /** Totals by label values; copied to the counters on each read, because the library hashes the labels on every increment. */
   private readonly _requestTotals = new Map<string, RequestTotals>();
   private readonly _placementTotals = new Map<string, PlacementTotals>();
   private readonly _workspaces = new Map<string, Map<RequestOutcome, number>>();
@@ -78,7 +78,7 @@
     this._registry.registerMetric(new LatencyMetric(this._requestTotals) as unknown as Metric);
   }
 
-  /** Notes the end of a request; `reason` is one of a closed list. */
+  /** Counts a completed request; `reason` must come from a fixed set of values. */
   requestEnded(service: string, outcome: RequestOutcome, reason: string, seconds: number): void {
     const key = `${service} ${outcome} ${reason}`;
     let totals = this._requestTotals.get(key);
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Notes the end of a workspace's request; workspaces beyond the first ones count together. */
+  /** Counts a completed request of a workspace; workspaces beyond the maximum share the label `other`. */
   workspaceEnded(workspace: string, outcome: RequestOutcome): void {
     const known = this._workspaces.has(workspace) || this._workspaces.size < kMaxWorkspaces;
     const name = known ? workspace : 'other';
@@ -103,12 +103,12 @@
     this._workspaces.set(name, outcomes);
   }
 
-  /** Notes a call that the gate refused. */
+  /** Counts a call that the gate refused. */
   refused(reason: GateRefusal): void {
     this._refusals.inc({ reason });
   }
 
-  /** Notes an offer of a call to a target; `afterRefusal` when an earlier one of the same request was refused or lost. */
+  /** Counts an offer to a target; `afterRefusal` when an earlier offer of the same request was unsuccessful. */
   placed(service: string, place: TargetLocality, afterRefusal: boolean): void {
     const key = `${service} ${place} ${afterRefusal}`;
     let totals = this._placementTotals.get(key);
@@ -119,17 +119,17 @@
     totals.count++;
   }
 
-  /** Notes that the target of this host ended while requests ran on it. */
+  /** Counts a crash of this host's target. */
   targetCrashed(): void {
     this._crashes.inc();
   }
 
-  /** Notes a repeat that the gate let in. */
+  /** Counts a repeat that the gate admitted. */
   repeated(): void {
     this._repeats.inc();
   }
 
-  /** Totals since the start, for the regular line of the log. */
+  /** Totals since the start, for the periodic log line. */
   async totals(): Promise<{ requests: Record<string, number>; placements: Record<string, number>; refusals: Record<string, number> }> {
     const refusals = await this._refusals.get();
     return {
@@ -139,7 +139,7 @@
     };
   }
 
-  /** Everything as text. */
+  /** All metrics in the Prometheus text format. */
   async text(): Promise<string> {
     this._updateCounters();
     const {
--- a/packages/mesh/src/app/runMesh.ts
+++ b/packages/mesh/src/app/runMesh.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Runs a routing daemon as a process, from its settings to its planned stop. */
+/** Runs a routing daemon as a process, from loading its settings to its graceful shutdown. */
 
 import type { MeshSettings } from '@gentiandrum/protocol';
 import type { Platform } from '../ports.js';
@@ -14,7 +14,7 @@
 /** Exit codes of the daemon. */
 export const kMeshExit = { ok: 0, failed: 1, badSettings: 2 } as const;
 
-/** Runs a daemon until it is told to stop; `adapt` makes the platform's adapter from the settings. */
+/** Runs a daemon until SIGTERM; `createPlatform` returns the platform adapter for the settings. */
 export async function runMesh(settingsFile: string, createPlatform: (settings: MeshSettings, events: EventLog) => Platform): Promise<void> {
   const settings = readSettings(settingsFile);
   if (!settings) {
@@ -23,10 +23,10 @@
   }
   const events = new EventLog(settings.id, settings.logLinesPerSecond);
   process.on('unhandledRejection', (err) => {
-    events.warn('start', 'A fault of the daemon was not handled.', { err: err instanceof Error ? err.stack : String(err) });
+    events.warn('start', 'Unhandled error in the daemon.', { err: err instanceof Error ? err.stack : String(err) });
   });
   process.on('uncaughtException', (err) => {
-    events.warn('start', 'A fault of the daemon was not handled.', { err: err.stack });
+    events.warn('start', 'Unhandled error in the daemon.', { err: err.stack });
   });
   const daemon = new MeshDaemon(settings, createPlatform(settings, events), events);
   process.on('SIGHUP', () => {
@@ -40,7 +40,7 @@
   try {
     await daemon.start();
   } catch (err) {
-    events.warn('start', 'Could not listen.', { err: String(err) });
+    events.warn('start', 'Failed to listen on the configured addresses.', { err: String(err) });
     process.exit(kMeshExit.failed);
   }
 }
@@ -54,7 +54,7 @@
   }
 }
 
-/** Addresses and names hold for the life of a process; a changed file is checked, and takes effect at the next start. */
+/** Validates a changed settings file, which takes effect at the next start. */
 function reload(file: string, settings: MeshSettings, events: EventLog): void {
   try {
     const changed = JSON.stringify(loadMeshSettings(file)) !== JSON.stringify(settings);
