--- a/packages/mesh/src/index.ts
+++ b/packages/mesh/src/index.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The routing daemon, for callers that speak plain HTTP. */
+/** Public API of the routing daemon. */
 
 export * from './app/calls/callExchange.js';
 export * from './app/calls/deadlines.js';
--- a/packages/mesh/src/ports.ts
+++ b/packages/mesh/src/ports.ts
@@ -3,79 +3,79 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What a routing daemon needs of the platform that it runs on. Adapters implement these; nothing here knows one. */
+/** Interfaces between a routing daemon and its platform, implemented by platform adapters. */
 
 import type { Announcement, TargetRecord, VersionProof } from '@gentiandrum/core';
 import type { MeshConfig } from '@gentiandrum/protocol';
 
-/** Names of the HTTP headers by which callers, daemons and targets speak, all in lower case. */
+/** Names of the HTTP headers exchanged between callers, daemons and targets, in lower case. */
 export interface HeaderNames {
-  /** Id of one attempt of a caller; targets echo it. */
+  /** Id of one attempt of a caller; targets echo it in their responses. */
   requestId: string;
-  /** Time for which the sender will wait, in milliseconds. */
+  /** Time that the sender waits for the response, in milliseconds. */
   remainingMs: string;
-  /** Mark of a target on its answers; without it an answer is not the target's. */
+  /** Header by which a target marks its responses; a response without it does not come from the target. */
   seal: string;
-  /** Instance that the request is meant for. */
+  /** Target instance that the request is addressed to. */
   expectedInstance: string;
-  /** Set on answers that say: not run. */
+  /** Set on responses to requests that were not run. */
   notRun: string;
-  /** Service on whose host the request began. */
+  /** Service of the host that sent the request. */
   callerService: string;
-  /** Workspace that the request is of. */
+  /** Workspace of the request. */
   workspace: string;
 }
 
-/** How the platform's HTTP requests are read and written. */
+/** HTTP conventions of the platform. */
 export interface Dialect {
   headers: HeaderNames;
   /** Path of the readiness check. */
   readyPath: string;
-  /** Reads a target's announcement; undefined when it is none. */
+  /** Parses a target's announcement; returns undefined for any other request. */
   readAnnouncement(method: string, path: string, body: Buffer): Announcement | undefined;
 }
 
-/** A topic of the platform's log as one daemon reads it. Each call to the log has its price, so most daemons read now and then. */
+/** Reader of one topic of the platform's log. Log calls are expensive, so only some daemons follow a topic. */
 export interface LogView {
-  /** Time of the latest answer of the log, on the monotonic clock; `-Infinity` before the first. */
+  /** Time of the latest response of the log, on the monotonic clock; `-Infinity` before the first. */
   readonly answeredAt: number;
-  /** Whether the latest call had no answer of use. */
+  /** Whether the latest call failed. */
   readonly failing: boolean;
-  /** Begins or ends to wait for records as they come. */
+  /** Starts or stops following the topic, that is, receiving records as they are appended. */
   follow(on: boolean): void;
-  /** Reads what is there, once; true when the log answered. */
+  /** Reads the current records once; resolves to whether the log responded. */
   readNewest(): Promise<boolean>;
   stop(): void;
 }
 
-/** Where the operators' configuration comes from. */
+/** Source of the configuration. */
 export interface ConfigSource extends LogView {
-  /** Sets what is called with each configuration found, in any order, also twice. */
+  /** Sets the callback for configurations; it may receive them in any order, and more than once. */
   onConfig(take: (cfg: MeshConfig) => void): void;
-  /** What the log was last shown to have as its newest version; undefined when that is not known, or can't be read. */
+  /** Latest proof of the newest version in the log; undefined when that version is unknown or cannot be read. */
   readonly proof: VersionProof | undefined;
 }
 
-/** A change in the shared records. */
+/** A change to the hosts' records in the log. */
 export type RecordChange = { kind: 'record'; record: TargetRecord } | { kind: 'erased'; host: string };
 
 /** The hosts' records in the platform's log. */
 export interface RecordLog extends LogView {
-  /** Sets what is called with the changes of one answer, and whether that was a complete reading. */
+  /** Sets the callback for the changes in one response of the log; `complete` for a full read. */
   onChanges(take: (changes: RecordChange[], complete: boolean) => void): void;
-  /** Appends records of several hosts, all or none; true once they are durable. Tries once. */
+  /** Appends records of several hosts atomically, without retries; resolves to whether they are durable. */
   append(records: readonly TargetRecord[]): Promise<boolean>;
-  /** Writes the record of this host; resolves once it is durable, and gives up when a newer one is published. */
+  /** Writes the record of this host, with retries; resolves to true once it is durable, to false if a newer write replaces it. */
   publish(record: TargetRecord): Promise<boolean>;
-  /** Removes the record of this host for good. */
+  /** Deletes the record of a host from the log, with retries. */
   erase(host: string): Promise<boolean>;
 }
 
-/** The platform as a whole. */
+/** Platform adapter. */
 export interface Platform {
   dialect: Dialect;
   configs: ConfigSource;
   records: RecordLog;
-  /** Calls made to the log since the start, by kind; each has its price. */
+  /** Number of calls to the log since the start, by kind. */
   logCalls(): ReadonlyMap<string, number>;
 }
