--- a/packages/mesh/src/ports.ts
+++ b/packages/mesh/src/ports.ts
@@ -51,7 +51,7 @@
 /** Source of the configuration. */
 export interface ConfigSource extends LogView {
   /** Sets the callback for configurations; it may receive them in any order, and more than once. */
-  onConfig(take: (cfg: MeshConfig) => void): void;
+  onConfig(listener: (cfg: MeshConfig) => void): void;
   /** Latest proof of the newest version in the log; undefined when that version is unknown or cannot be read. */
   readonly proof: VersionProof | undefined;
 }
@@ -62,7 +62,7 @@
 /** The hosts' records in the platform's log. */
 export interface RecordLog extends LogView {
   /** Sets the callback for the changes in one response of the log; `complete` for a full read. */
-  onChanges(take: (changes: RecordChange[], complete: boolean) => void): void;
+  onChanges(listener: (changes: RecordChange[], complete: boolean) => void): void;
   /** Appends records of several hosts atomically, without retries; resolves to whether they are durable. */
   append(records: readonly TargetRecord[]): Promise<boolean>;
   /** Writes the record of this host, with retries; resolves to true once it is durable, to false if a newer write replaces it. */
