--- a/tests/mesh/fewReaders.spec.ts
+++ b/tests/mesh/fewReaders.spec.ts
@@ -71,7 +71,7 @@
       const [first] = fleet.hosts;
       fleet.store.put(kTopic, first?.id ?? '', '');
       await fleet.until('the record to be back', () => inLog() === kHosts);
-      t.is((await fleet.call(fleet.hosts[1] ?? fail(), '/a/x')).status, 200);
+      t.is((await fleet.call(fleet.hosts[1] ?? failMissingHost(), '/a/x')).status, 200);
     }),
   );
 
@@ -102,6 +102,6 @@
   );
 });
 
-function fail(): never {
+function failMissingHost(): never {
   throw new Error('expected a second host');
 }
--- a/tests/mesh/leaving.spec.ts
+++ b/tests/mesh/leaving.spec.ts
@@ -270,8 +270,8 @@
       const target = new UpstreamStandin('i-h1', 'reads');
       const own = { host: 'h1', zone: 'z1', peers: '127.0.0.1:9', service: 'reads', instance: 'i-h1', state: 'draining', slots: 20 };
       fleet.store.put(kTopic, 'h1', JSON.stringify({ ...own, epoch: 1, revision: 5 }));
-      const ignorant = await fleet.add('h2', 'other');
-      await fleet.until('the ignorant daemon to be ready', async () => (await fleet.readiness(ignorant)) === 200);
+      const peer = await fleet.add('h2', 'other');
+      await fleet.until('the ignorant daemon to be ready', async () => (await fleet.readiness(peer)) === 200);
       const again = await fleet.add('h1', 'reads', { target });
       const statuses = await Promise.all(Array.from({ length: 40 }, async () => (await fleet.call(again, '/a/x')).status));
       t.true(statuses.every((status) => status === 503));
--- a/tests/mesh/lethalRequests.spec.ts
+++ b/tests/mesh/lethalRequests.spec.ts
@@ -25,28 +25,28 @@
 
 const kHosts = 6;
 const kRunMs = 10_000;
-const kInnocentEveryMs = 8;
+const kNormalIntervalMs = 8;
 /** Every so many innocent calls one is the lookup that all share. */
 const kSharedEvery = 4;
 /** Ends of targets that one kind of request may cause on the whole fleet. */
-const kMaxEnds = 3;
-const kMaxNotServed = 0.02;
+const kMaxCrashes = 3;
+const kMaxFailureShare = 0.02;
 
 interface Load {
   /** Requests that end their targets, sent at any host each so many milliseconds. */
   lethal?: { everyMs: number; method: 'GET' | 'POST'; path: string; body?: string }[];
   /** Every so many milliseconds a target ends by itself. */
-  endsEveryMs?: number;
+  crashEveryMs?: number;
   idempotent?: boolean;
   /** Hosts of other services, where requests come in too. */
   otherHosts?: number;
 }
 
 interface Tally {
-  innocent: number;
-  notServed: number;
+  normal: number;
+  failed: number;
   lethal: number;
-  ends: number;
+  crashes: number;
   /** Answers to innocent calls that were not served, by status and text. */
   failures: Map<string, number>;
 }
@@ -87,26 +87,26 @@
 }
 
 /** Sends the load for a while; every answer is counted. */
-async function play(fleet: MeshFleet, { lethal = [], endsEveryMs, idempotent = true, otherHosts = 0 }: Load): Promise<Tally> {
+async function runLoad(fleet: MeshFleet, { lethal = [], crashEveryMs, idempotent = true, otherHosts = 0 }: Load): Promise<Tally> {
   const { hosts, targets } = await buildFleet(fleet, idempotent, otherHosts);
-  const tally: Tally = { innocent: 0, notServed: 0, lethal: 0, ends: 0, failures: new Map() };
+  const tally: Tally = { normal: 0, failed: 0, lethal: 0, crashes: 0, failures: new Map() };
   const calls: Promise<void>[] = [];
-  const innocent = async (i: number): Promise<void> => {
+  const sendNormal = async (i: number): Promise<void> => {
     const shared = i % kSharedEvery === 0;
     const body = i % 2 === 0 ? undefined : `{"item":${i}}`;
     const { status, body: text } = await fleet.call(hostAt(hosts, i * 5), shared ? '/s/shared' : `/s/items/${body ? '' : i}`, {
       method: body && !shared ? 'POST' : 'GET',
       ...(body && !shared ? { body } : {}),
     });
-    tally.innocent++;
+    tally.normal++;
     if (status !== 200) {
-      tally.notServed++;
+      tally.failed++;
       const failure = `${status} ${text}`;
       tally.failures.set(failure, (tally.failures.get(failure) ?? 0) + 1);
     }
   };
   const timers = [
-    setInterval(() => calls.push(innocent(calls.length)), kInnocentEveryMs),
+    setInterval(() => calls.push(sendNormal(calls.length)), kNormalIntervalMs),
     ...lethal.map(({ everyMs, ...request }) =>
       setInterval(() => {
         tally.lethal++;
@@ -114,60 +114,60 @@
       }, everyMs),
     ),
   ];
-  if (endsEveryMs !== undefined) {
+  if (crashEveryMs !== undefined) {
     let next = 0;
-    timers.push(setInterval(() => targets[next++ % kHosts]?.crash(), endsEveryMs));
+    timers.push(setInterval(() => targets[next++ % kHosts]?.crash(), crashEveryMs));
   }
   await new Promise((resolve) => setTimeout(resolve, kRunMs));
   timers.forEach((timer) => {
     clearInterval(timer);
   });
   await Promise.all(calls);
-  tally.ends = targets.reduce((sum, { ends }) => sum + ends, 0);
+  tally.crashes = targets.reduce((sum, { ends }) => sum + ends, 0);
   targets.forEach((target) => {
     target.close();
   });
   return tally;
 }
 
-function check(t: ExecutionContext, tally: Tally, maxEnds: number): void {
-  const told = JSON.stringify({ ...tally, failures: [...tally.failures] });
-  t.true(tally.ends <= maxEnds, `expected at most ${maxEnds} ends, got ${told}`);
-  t.true(tally.notServed <= tally.innocent * kMaxNotServed, `expected at most 2% of the innocent calls not served, got ${told}`);
+function check(t: ExecutionContext, tally: Tally, maxCrashes: number): void {
+  const summary = JSON.stringify({ ...tally, failures: [...tally.failures] });
+  t.true(tally.crashes <= maxCrashes, `expected at most ${maxCrashes} ends, got ${summary}`);
+  t.true(tally.failed <= tally.normal * kMaxFailureShare, `expected at most 2% of the innocent calls not served, got ${summary}`);
 }
 
 describe('a request that ends the targets it runs on', () => {
   itAlone('should end three at most when it is idempotent and comes every 0.3 s at any host', async (t) => {
     await withFleet(async (fleet) => {
-      check(t, await play(fleet, { lethal: [{ everyMs: 300, method: 'GET', path: '/s/lethal' }] }), kMaxEnds);
+      check(t, await runLoad(fleet, { lethal: [{ everyMs: 300, method: 'GET', path: '/s/lethal' }] }), kMaxCrashes);
     });
   });
 
   itAlone('should end three at most when only its body sets it apart from good ones', async (t) => {
     await withFleet(async (fleet) => {
-      check(t, await play(fleet, { lethal: [{ everyMs: 300, method: 'POST', path: '/s/items/', body: '{"lethal":1}' }] }), kMaxEnds);
+      check(t, await runLoad(fleet, { lethal: [{ everyMs: 300, method: 'POST', path: '/s/items/', body: '{"lethal":1}' }] }), kMaxCrashes);
     });
   });
 
   itAlone('should end three at most when it may run only once', async (t) => {
     await withFleet(async (fleet) => {
       const lethal = [{ everyMs: 300, method: 'POST' as const, path: '/once/lethal', body: '{}' }];
-      check(t, await play(fleet, { lethal, idempotent: false }), kMaxEnds);
+      check(t, await runLoad(fleet, { lethal, idempotent: false }), kMaxCrashes);
     });
   });
 
   itAlone('should end three at most when it comes in at hosts of several services', async (t) => {
     await withFleet(async (fleet) => {
       const lethal = [{ everyMs: 300, method: 'GET' as const, path: '/s/lethal' }];
-      check(t, await play(fleet, { lethal, otherHosts: 3 }), kMaxEnds);
+      check(t, await runLoad(fleet, { lethal, otherHosts: 3 }), kMaxCrashes);
     });
   });
 
   itAlone('should end three at most also beside another kind of such requests', async (t) => {
     await withFleet(async (fleet) => {
-      const kinds = ['/s/lethal/a', '/s/lethal/b'];
-      const lethal = kinds.map((path) => ({ everyMs: 450, method: 'GET' as const, path }));
-      check(t, await play(fleet, { lethal }), kMaxEnds * kinds.length);
+      const paths = ['/s/lethal/a', '/s/lethal/b'];
+      const lethal = paths.map((path) => ({ everyMs: 450, method: 'GET' as const, path }));
+      check(t, await runLoad(fleet, { lethal }), kMaxCrashes * paths.length);
     });
   });
 });
@@ -175,7 +175,7 @@
 describe('targets that end by themselves', () => {
   itAlone('should cost no request its turn', async (t) => {
     await withFleet(async (fleet) => {
-      const tally = await play(fleet, { endsEveryMs: 550 });
+      const tally = await runLoad(fleet, { crashEveryMs: 550 });
       check(t, tally, Infinity);
       t.false(
         [...tally.failures.keys()].some((failure) => failure.includes('quarantined')),
--- a/tests/mesh/logFollower.spec.ts
+++ b/tests/mesh/logFollower.spec.ts
@@ -13,7 +13,7 @@
 
 const kZone = 'z1';
 const kTickMs = 100;
-const kReadMs = 3_000;
+const kReadDurationMs = 3_000;
 const kInForceMs = 2_000;
 /** Daemons that one tells of a version that is new to it. */
 const kSpread = 4;
@@ -67,7 +67,7 @@
   /** Goes on with a read that waits; called often. */
   step(): void {
     if (this.following && this._time.now >= this._nextRead) {
-      this._nextRead = this._time.now + (this._call() ? kReadMs : 1_200);
+      this._nextRead = this._time.now + (this._call() ? kReadDurationMs : 1_200);
     } else if (this.following && !this.failing) {
       this._onAnswer();
     }
--- a/tests/mesh/meshFleet.ts
+++ b/tests/mesh/meshFleet.ts
@@ -35,14 +35,14 @@
 }
 
 /** An answer as a caller got it. */
-export interface CallerAnswer {
+export interface CallerResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   body: string;
 }
 
 /** Where the daemon of a host is reached. */
-export interface HostPlace {
+export interface HostEndpoints {
   id: string;
   calls: string;
   ready: string;
@@ -52,7 +52,7 @@
 }
 
 /** One host of the fleet. */
-export interface FleetHost extends HostPlace {
+export interface FleetHost extends HostEndpoints {
   settings: MeshSettings;
   daemon: MeshDaemon;
   target: UpstreamStandin;
@@ -62,12 +62,12 @@
 export interface PreparedHost {
   settings: MeshSettings;
   target: UpstreamStandin;
-  host: HostPlace;
+  host: HostEndpoints;
 }
 
 const kHostName = 'app.example';
-const kWaitMs = 10_000;
-const kLookMs = 10;
+const kTimeoutMs = 10_000;
+const kPollMs = 10;
 
 /** Several daemons and their targets. */
 export class MeshFleet {
@@ -169,7 +169,7 @@
     return this._start(settings, target, place, false);
   }
 
-  private async _start(settings: MeshSettings, target: UpstreamStandin, place: HostPlace, beat: boolean): Promise<FleetHost> {
+  private async _start(settings: MeshSettings, target: UpstreamStandin, place: HostEndpoints, beat: boolean): Promise<FleetHost> {
     const { id } = settings;
     const events = new EventLog(id, 0, 0);
     const daemon = new MeshDaemon(settings, adaptPlatform(settings, events), events);
@@ -184,12 +184,12 @@
 
   /** Waits until a condition holds; fails the test by a throw when it never does. */
   async until(what: string, holds: () => boolean | Promise<boolean>): Promise<void> {
-    const end = performance.now() + kWaitMs;
+    const end = performance.now() + kTimeoutMs;
     while (!(await holds())) {
       if (performance.now() > end) {
         throw new Error(`expected ${what}`);
       }
-      await new Promise((resolve) => setTimeout(resolve, kLookMs));
+      await new Promise((resolve) => setTimeout(resolve, kPollMs));
     }
   }
 
@@ -203,10 +203,10 @@
 
   /** Sends one request through a host's daemon. */
   async call(
-    host: HostPlace,
+    host: HostEndpoints,
     path: string,
     options: { method?: 'GET' | 'POST'; body?: string; remainingMs?: number; headers?: Record<string, string> } = {},
-  ): Promise<CallerAnswer> {
+  ): Promise<CallerResponse> {
     const id = `a${this._nextId++}`;
     const res = await request(`http://${host.calls}${path}`, {
       dispatcher: this._agent,
--- a/tests/mesh/quarantineLasts.spec.ts
+++ b/tests/mesh/quarantineLasts.spec.ts
@@ -13,11 +13,11 @@
 const kHosts = 4;
 
 /** Hosts whose targets end by one request until `mended` says otherwise. */
-async function buildFleet(fleet: MeshFleet, mended: () => boolean): Promise<CrashingTarget[]> {
+async function buildFleet(fleet: MeshFleet, fixed: () => boolean): Promise<CrashingTarget[]> {
   fleet.configure([{ prefix: '/s/', service: 's', maxAttempts: 3 }]);
   const targets: CrashingTarget[] = [];
   for (let i = 0; i < kHosts; i++) {
-    const target = new CrashingTarget(`i-${i}`, 's', ({ path }) => path === kLethalPath && !mended());
+    const target = new CrashingTarget(`i-${i}`, 's', ({ path }) => path === kLethalPath && !fixed());
     await target.start();
     const host = await fleet.add(`h${i}`, 's', { target: target.current, beat: false });
     target.control = host.control;
@@ -28,7 +28,7 @@
   return targets;
 }
 
-function endsOf(targets: readonly CrashingTarget[]): number {
+function crashCount(targets: readonly CrashingTarget[]): number {
   return targets.reduce((sum, { ends }) => sum + ends, 0);
 }
 
@@ -47,7 +47,7 @@
 }
 
 /** Sends the request until it is held back everywhere. */
-async function untilHeld(fleet: MeshFleet): Promise<void> {
+async function untilQuarantined(fleet: MeshFleet): Promise<void> {
   await fleet.until('the kind to be held back', async () => {
     const { status, body } = await fleet.call(anyHost(fleet), kLethalPath);
     return status === 503 && body.includes('quarantined');
@@ -58,14 +58,14 @@
   itAlone('should be refused at once as not run, with a time to come again', async (t) => {
     await withFleet(async (fleet) => {
       const targets = await buildFleet(fleet, () => false);
-      await untilHeld(fleet);
+      await untilQuarantined(fleet);
       for (const host of fleet.hosts) {
         const { status, headers, body } = await fleet.call(host, kLethalPath);
         t.is(status, 503);
         t.true(body.includes('not run: quarantined'));
         t.true(Number(headers['retry-after']) >= 30);
       }
-      t.is(endsOf(targets), 3);
+      t.is(crashCount(targets), 3);
       targets.forEach((target) => {
         target.close();
       });
@@ -75,7 +75,7 @@
   itAlone('should stay held back by a daemon that starts again, and by all of them', async (t) => {
     await withFleet(async (fleet) => {
       const targets = await buildFleet(fleet, () => false);
-      await untilHeld(fleet);
+      await untilQuarantined(fleet);
       const one = anyHost(fleet);
       fleet.kill(one);
       const restarted = await fleet.restart(one);
@@ -100,7 +100,7 @@
         await fleet.until('the daemon to serve', async () => (await fleet.call(host, '/s/good')).status === 200);
         t.is((await fleet.call(host, kLethalPath)).status, 503);
       }
-      t.is(endsOf(targets), 3);
+      t.is(crashCount(targets), 3);
       targets.forEach((target) => {
         target.close();
       });
@@ -109,15 +109,15 @@
 
   itAlone('should run again everywhere once an operator lets it, and be cleared by its first success', async (t) => {
     await withFleet(async (fleet) => {
-      let mended = false;
-      const targets = await buildFleet(fleet, () => mended);
-      await untilHeld(fleet);
-      const [held] = await suspectsOf(anyHost(fleet));
-      t.is(held?.verdict, 'quarantined');
-      t.is(held?.marks.length, 3);
-      mended = true;
+      let fixed = false;
+      const targets = await buildFleet(fleet, () => fixed);
+      await untilQuarantined(fleet);
+      const [suspect] = await suspectsOf(anyHost(fleet));
+      t.is(suspect?.verdict, 'quarantined');
+      t.is(suspect?.marks.length, 3);
+      fixed = true;
       await fleet.until('all targets to be back', () => fleet.hosts.every(({ daemon }) => daemon.record.state === 'ready'));
-      const path = `/-/suspects/${held?.fingerprint ?? ''}/release`;
+      const path = `/-/suspects/${suspect?.fingerprint ?? ''}/release`;
       const unknown = await request(`http://${anyHost(fleet).metrics}/-/suspects/none/release`, { method: 'POST' });
       t.is(unknown.statusCode, 404);
       await unknown.body.dump();
--- a/tests/mesh/workspaces.spec.ts
+++ b/tests/mesh/workspaces.spec.ts
@@ -6,7 +6,7 @@
 /** Keys, revocation and quotas over real sockets. */
 
 import { describe, itAlone } from '../support/describe.js';
-import { type CallerAnswer, type FleetHost, type MeshFleet, type TestWorkspace, withFleet } from './meshFleet.js';
+import { type CallerResponse, type FleetHost, type MeshFleet, type TestWorkspace, withFleet } from './meshFleet.js';
 import { RawCaller, requestText } from './rawCaller.js';
 
 const kCrew: TestWorkspace = { name: 'crew', keys: ['key-of-crew', 'second-key'] };
@@ -189,7 +189,7 @@
         return answers.every(({ status }) => status === 200);
       });
       const startedAt = performance.now();
-      const answers: CallerAnswer[] = [];
+      const answers: CallerResponse[] = [];
       while (performance.now() - startedAt < 1_000) {
         answers.push(...(await Promise.all(hosts.map((host) => fleet.call(host, '/a/b', { headers: bearer('key-of-bulk') })))));
       }
