--- a/packages/mesh/src/app/calls/requestEntry.ts
+++ b/packages/mesh/src/app/calls/requestEntry.ts
@@ -36,7 +36,7 @@
   cancel(): void;
 }
 
-/** Admission of external requests at one daemon. */
+/** Request admission of one daemon. */
 export class RequestEntry {
   private readonly _admission = new RootAdmission();
   private readonly _environment: AdmitSurroundings;
--- a/packages/mesh/src/app/calls/targetGate.ts
+++ b/packages/mesh/src/app/calls/targetGate.ts
@@ -390,7 +390,7 @@
     this._applyState();
   }
 
-  /** Handles the end of the target process: a crash if the target was ready, expected if it was draining. */
+  /** Handles the end of the target process, which is a crash only if the target was ready. */
   private _handleCrash(calls: readonly PeerCall[]): void {
     const { address, instance, born, state } = this._life.known;
     if (state !== 'ready') {
--- a/packages/mesh/src/app/log/logFollower.ts
+++ b/packages/mesh/src/app/log/logFollower.ts
@@ -88,7 +88,7 @@
     return this._place.kind === 'member' ? this._place.readers : this._place.ahead;
   }
 
-  /** Whether this daemon's latest call to the log succeeded, and recently enough. */
+  /** Whether the latest call of this daemon to the log has not failed, and the latest response is recent. */
   get logResponds(): boolean {
     const { configs } = this._deps;
     return !configs.failing && monotonicMs() - configs.answeredAt < kMaxAnswerAgeMs;
--- a/packages/mesh/src/app/workspaces/proofTracker.ts
+++ b/packages/mesh/src/app/workspaces/proofTracker.ts
@@ -59,7 +59,7 @@
     return this._freshness.validUntil;
   }
 
-  /** Whether no proof has arrived since the host was suspended. */
+  /** Whether the host was suspended and no proof has arrived since. */
   get awaitsProof(): boolean {
     this._applyOwnProof();
     return this._freshness.waking;
