--- a/tests/mesh/callExchange.spec.ts
+++ b/tests/mesh/callExchange.spec.ts
@@ -66,7 +66,7 @@
 }
 
 describe('an exchange', () => {
-  it('should tell of each offer without success where it went, how it ended, and how full the gate was', (t) => {
+  it('should report the host, the result and the gate load of each unsuccessful offer', (t) => {
     const { exchange, end } = run([
       { kind: 'not_run', reason: 'overloaded', retryAfterMs: 50 },
       { kind: 'answered', answer: { status: 500, headers: [], body: Buffer.alloc(0) } },
@@ -82,7 +82,7 @@
     );
   });
 
-  it('should keep nothing of one that went well at once', (t) => {
+  it('should report no failed offers when the first one succeeds', (t) => {
     const { exchange } = run([{ kind: 'answered', answer: { status: 200, headers: [], body: Buffer.alloc(0) } }]);
     t.deepEqual(exchange.failed, []);
   });
--- a/tests/mesh/crashEvidence.spec.ts
+++ b/tests/mesh/crashEvidence.spec.ts
@@ -9,7 +9,7 @@
 
 const kWorkMs = 300;
 
-/** Two hosts; returns the one whose target something happens to, with a call under way there. */
+/** Starts one host; returns it with a call in flight on its target. */
 async function startCall(fleet: MeshFleet): Promise<{ host: FleetHost; call: Promise<number> }> {
   fleet.configure([{ prefix: '/s/', service: 's', idempotent: false }]);
   const host = await fleet.add('a', 's');
@@ -25,8 +25,8 @@
   return Number(count);
 }
 
-describe('the end of a target', () => {
-  itAlone('should be told from that of a connection: all are gone, and the next is refused', async (t) => {
+describe('a crash of a target', () => {
+  itAlone('should be detected when all connections are reset and the next one is refused', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       host.target.close();
@@ -35,7 +35,7 @@
     });
   });
 
-  itAlone('should count once, however many calls were under way', async (t) => {
+  itAlone('should be counted once, however many calls were in flight', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       const others = Array.from({ length: 8 }, () => fleet.call(host, '/s/3'));
@@ -46,7 +46,7 @@
     });
   });
 
-  itAlone('should be seen also when the caller had left before', async (t) => {
+  itAlone('should be detected after the caller has timed out', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const host = await fleet.add('a', 's');
@@ -59,7 +59,7 @@
     });
   });
 
-  itAlone('should not be seen in a connection that ends without an answer', async (t) => {
+  itAlone('should not be detected when a connection closes without a response', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       host.target.mode = 'dropped';
@@ -70,7 +70,7 @@
     });
   });
 
-  itAlone('should not be seen in a target that answers too late', async (t) => {
+  itAlone('should not be detected when a target responds too late', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       await call;
@@ -80,7 +80,7 @@
     });
   });
 
-  itAlone('should not be seen in one that left as it said', async (t) => {
+  itAlone('should not be detected when a draining target stops', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       t.is(await host.target.beat(host.control, 'draining'), 200);
@@ -90,7 +90,7 @@
     });
   });
 
-  itAlone('should not be seen in one that made place for another', async (t) => {
+  itAlone('should not be detected when another target replaces it', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       const next = new UpstreamStandin('i-next', 's');
--- a/tests/mesh/deadTarget.spec.ts
+++ b/tests/mesh/deadTarget.spec.ts
@@ -9,8 +9,8 @@
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
 import { withFleet } from './meshFleet.js';
 
-describe('a target that crashes while its daemon lives', () => {
-  itAlone('should be unreachable in its record at once, cost callers nothing, and be used again when it is back', async (t) => {
+describe('a target that crashes while its daemon keeps running', () => {
+  itAlone('should become unreachable in its record, fail no requests, and be used again after its restart', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const a = await fleet.add('a', 's');
@@ -22,9 +22,9 @@
         t.is((await fleet.call(a, '/s/2')).status, 200);
         t.is((await fleet.call(b, '/s/3')).status, 200);
       }
-      await fleet.until('the record of b to say that its target is unreachable', () => b.daemon.record.state === 'unreachable');
+      await fleet.until('the target of b to be unreachable in its record', () => b.daemon.record.state === 'unreachable');
       await fleet.until('a to know', async () => (await fleet.metrics(a)).includes('name="hosts_unreachable"'));
-      // A late heartbeat of the dead target.
+      // A late heartbeat of the crashed target.
       t.is(await b.target.beat(b.control), 200);
       await new Promise((resolve) => setTimeout(resolve, 250));
       t.is(b.daemon.record.state, 'unreachable');
@@ -44,13 +44,9 @@
   });
 });
 
-/**
- * Two hosts of one service. The first answers of b's target are slow, as they are after a start or beside load; from then on it is quick.
- * Its daemon compared the times of the two, and as only a new answer would renew that of b, none came: not one of the calls of the
- * next ten seconds went to b, whose record said "ready" all the time. `routing/placement` has the same without a network.
- */
-describe('a target whose first answers were slow', () => {
-  itAlone('should be used again once it is quick', async (t) => {
+/** Guards against a target that never receives calls again because its outdated slow times are not renewed. */
+describe('a target whose first responses were slow', () => {
+  itAlone('should be used again once it is fast', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const a = await fleet.add('a', 's');
@@ -72,9 +68,9 @@
   });
 });
 
-/** A target that crashes again and again, and comes back each time: what was held against it before must not outlast its return. */
+/** Guards against penalties from earlier crashes that persist after the target is ready again. */
 describe('a target that crashed several times', () => {
-  itAlone('should be used by its own daemon as soon as its record says that it is ready', async (t) => {
+  itAlone('should be used by its local daemon as soon as it is ready in its record', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       await fleet.add('a', 's');
@@ -84,7 +80,7 @@
       let { target } = b;
       for (let i = 0; i < 5; i++) {
         target.close();
-        await fleet.until('the record of b to say that its target is unreachable', async () => {
+        await fleet.until('the target of b to be unreachable in its record', async () => {
           t.is((await fleet.call(b, '/s/2')).status, 200);
           return b.daemon.record.state === 'unreachable';
         });
@@ -95,16 +91,16 @@
         for (let calls = 0; calls < 60; calls++) {
           t.is((await fleet.call(b, '/s/3')).status, 200);
         }
-        t.true(target.seen.length > 0, `not used after return ${i + 1}`);
+        t.true(target.seen.length > 0, `not used after restart ${i + 1}`);
       }
       target.close();
     });
   });
 });
 
-/** A daemon whose ports are taken in part ends whole: one that went on listening on the others kept its process, and callers waiting. */
-describe('a daemon that can not listen', () => {
-  itAlone('should say so, and keep none of its ports', async (t) => {
+/** Guards against a daemon that fails to start and keeps listening on some of its ports. */
+describe('a daemon that cannot listen on a port', () => {
+  itAlone('should fail to start and release all its ports', async (t) => {
     await withFleet(async (fleet) => {
       const prepared = await fleet.prepare('a', 's');
       const { calls, ready, control } = prepared.host;
@@ -126,8 +122,8 @@
   });
 });
 
-describe('a daemon that starts before it knows anything', () => {
-  itAlone('should use the limits of the configuration that comes after its target is ready', async (t) => {
+describe('a daemon that starts without a configuration', () => {
+  itAlone('should apply the limits of a configuration that arrives after its target is ready', async (t) => {
     await withFleet(async (fleet) => {
       const a = await fleet.add('a', 's');
       await fleet.until('the target to be ready', () => a.daemon.record.state === 'ready');
--- a/tests/mesh/fewReaders.spec.ts
+++ b/tests/mesh/fewReaders.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Daemons of one zone over the store: who reads it, and what reaches the others when readers die or the store turns them away. */
+/** Tests that two readers per zone keep all its daemons up to date, also when readers are killed or the store is unavailable. */
 
 import { describe, itAlone } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
@@ -43,8 +43,8 @@
   }
 }
 
-describe('a zone of daemons', () => {
-  itAlone('should have two readers, whose version is in force at all', (t) =>
+describe('the daemons of a zone', () => {
+  itAlone('should have two readers, whose version comes into force at all daemons', (t) =>
     withZone(async (fleet) => {
       fleet.configure([{ prefix: '/b/', service: 'reads' }]);
       await untilServed(fleet, '/b/x');
@@ -52,7 +52,7 @@
     }),
   );
 
-  itAlone('should get a new version also when both readers have just been killed', (t) =>
+  itAlone('should receive a new version right after both readers are killed', (t) =>
     withZone(async (fleet) => {
       for (const reader of await readers(fleet)) {
         fleet.kill(reader);
@@ -64,7 +64,7 @@
     }),
   );
 
-  itAlone('should have the record of each host in the log, and take back one that was removed there', (t) =>
+  itAlone('should write the record of each host to the log, and restore a removed one', (t) =>
     withZone(async (fleet) => {
       const inLog = (): number => fleet.store.newest(kTopic).size;
       await fleet.until('all records to be in the log', () => inLog() === kHosts);
@@ -75,7 +75,7 @@
     }),
   );
 
-  itAlone('should tell a daemon that joins while the store is away of all hosts and the version, once one of them reaches it', (t) =>
+  itAlone('should send all hosts and the version to a daemon that joins while the store is unavailable', (t) =>
     withZone(async (fleet) => {
       const late = await fleet.prepare('late', 'other');
       fleet.store.put(
@@ -93,7 +93,7 @@
           revision: 1,
         }),
       );
-      await fleet.until('a reader to know of it', () => fleet.hosts.some(({ daemon }) => daemon.knows('late')));
+      await fleet.until('a reader to know its record', () => fleet.hosts.some(({ daemon }) => daemon.knows('late')));
       fleet.store.mode = 'reset';
       const host = await fleet.startPrepared(late);
       await fleet.until('it to serve', async () => (await fleet.call(host, '/a/x')).status === 200);
--- a/tests/mesh/leaving.spec.ts
+++ b/tests/mesh/leaving.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Targets that leave, daemons that come back, and a store that is away. */
+/** Tests draining targets, restarted daemons, and an unavailable store. */
 
 import { describe, itAlone } from '../support/describe.js';
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
@@ -11,8 +11,8 @@
 
 const kTopic = 'keyed.gentiandrum-hosts';
 
-describe('a leaving target', () => {
-  itAlone('should get nothing new once its word was acknowledged, at any daemon', (t) =>
+describe('a draining target', () => {
+  itAlone('should receive no new calls from any daemon after its announcement is acknowledged', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const stays = await fleet.add('h1', 'reads');
@@ -28,7 +28,7 @@
     }),
   );
 
-  itAlone('should stay so when an older heartbeat comes late', (t) =>
+  itAlone('should stay draining when an older heartbeat arrives late', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -39,13 +39,13 @@
     }),
   );
 
-  itAlone('should stay so for a daemon that started again, from the store alone', (t) =>
+  itAlone('should stay gone for a restarted daemon that reads the state from the store', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
       await fleet.untilServing('/a/warm');
       t.is(await host.target.leave(host.control), 200);
-      await fleet.until('the store to know', () => fleet.store.newest(kTopic).get('h1')?.includes('"gone"') === true);
+      await fleet.until('the store to have the gone target', () => fleet.store.newest(kTopic).get('h1')?.includes('"gone"') === true);
       fleet.kill(host);
       const again = await fleet.add('h1', 'reads', { target: host.target, beat: false });
       await fleet.until('the new daemon to be ready', async () => (await fleet.readiness(again)) === 200);
@@ -56,7 +56,7 @@
     }),
   );
 
-  itAlone('should stay so for a daemon that started again, from other daemons while the store is away', (t) =>
+  itAlone('should stay draining for a restarted daemon that learns it from others while the store is unavailable', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -75,8 +75,8 @@
   );
 });
 
-describe('words of a target that come out of order', () => {
-  itAlone('should let a goodbye bind a daemon that hears of the target for the first time', (t) =>
+describe('announcements of a target that arrive out of order', () => {
+  itAlone('should keep a target gone for a daemon whose first announcement of it says so', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads', { beat: false });
@@ -88,7 +88,7 @@
     }),
   );
 
-  itAlone('should not bring back an instance that another one has taken the place of', (t) =>
+  itAlone('should not bring back a replaced instance', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -108,8 +108,8 @@
   );
 });
 
-describe('a daemon that starts again', () => {
-  itAlone('should use its target at once after a planned stop, before the next heartbeat', (t) =>
+describe('a restarted daemon', () => {
+  itAlone('should use its target before the next heartbeat after a graceful shutdown', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -123,12 +123,12 @@
     }),
   );
 
-  itAlone('should wait for its target after a kill: what was acknowledged last may be known to nobody', (t) =>
+  itAlone('should wait for its target after a kill, because the last acknowledged state may be lost', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
       await fleet.untilServing('/a/warm');
-      await fleet.until('the store to know', () => fleet.store.newest(kTopic).get('h1')?.includes('"ready"') === true);
+      await fleet.until('the store to have the ready target', () => fleet.store.newest(kTopic).get('h1')?.includes('"ready"') === true);
       fleet.kill(host);
       const before = host.target.seen.length;
       const again = await fleet.restart(host);
@@ -140,7 +140,7 @@
     }),
   );
 
-  itAlone('should be told "not run" by a target that is another instance by now', (t) =>
+  itAlone('should receive "not run" from a target that has been replaced by another instance', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', idempotent: false }]);
       const host = await fleet.add('h1', 'reads');
@@ -153,7 +153,7 @@
       host.target.close();
       await next.start();
       const again = await fleet.restart(host);
-      await fleet.until('the remembered target to be offered a call', async () => {
+      await fleet.until('the last known target to be offered a call', async () => {
         t.is((await fleet.call(other, '/a/x', { method: 'POST', body: 'hold' })).status, 503);
         return next.seen.length > 0;
       });
@@ -164,8 +164,8 @@
   );
 });
 
-describe('a planned stop', () => {
-  itAlone('should leave the target in use while callers turn away', (t) =>
+describe('a graceful shutdown', () => {
+  itAlone('should keep using the target while callers switch to other daemons', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const stops = await fleet.add('h1', 'reads');
@@ -180,27 +180,27 @@
   );
 });
 
-describe('a store that is away', () => {
+describe('an unavailable store', () => {
   for (const mode of ['busy', 'limited', 'silent', 'reset', 'lost', 'full'] as const) {
-    itAlone(`should not keep a target that came meanwhile from being used (${mode})`, (t) =>
+    itAlone(`should not prevent the use of a target that becomes ready meanwhile (${mode})`, (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/a/', service: 'reads' }]);
         const near = await fleet.add('h1', 'other');
         await fleet.until('the first daemon to be ready', async () => (await fleet.readiness(near)) === 200);
         const far = await fleet.add('h2', 'reads', { beat: false });
         await fleet.until('both to be ready', async () => (await fleet.readiness(far)) === 200);
-        await fleet.until('both to know each other', () => far.daemon.reachable === 1 && near.daemon.reachable === 1);
+        await fleet.until('both to be linked', () => far.daemon.reachable === 1 && near.daemon.reachable === 1);
         fleet.store.mode = mode;
         await far.target.beat(far.control);
         await fleet.until('the target to be used', async () => (await fleet.call(near, '/a/x')).status === 200);
         fleet.store.mode = 'serving';
-        await fleet.until('the store to know it', () => fleet.store.newest(kTopic).get('h2')?.includes('"ready"') === true);
+        await fleet.until('the store to have its record', () => fleet.store.newest(kTopic).get('h2')?.includes('"ready"') === true);
         t.pass();
       }),
     );
   }
 
-  itAlone('should not keep a version from a daemon that it turns away', (t) =>
+  itAlone('should not keep a new version from a daemon that cannot reach it', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -210,7 +210,7 @@
       const cutOff = await fleet.add('h2', 'other');
       fleet.storeAddress = real;
       fleet.store.put(kTopic, 'h2', recordOf(cutOff.daemon.record));
-      await fleet.until('the daemon that is cut off to serve', async () => (await fleet.call(cutOff, '/a/x')).status === 200);
+      await fleet.until('the disconnected daemon to serve', async () => (await fleet.call(cutOff, '/a/x')).status === 200);
       fleet.configure([{ prefix: '/b/', service: 'reads' }]);
       await fleet.until('the new version to be in force there', async () => (await fleet.call(cutOff, '/a/x')).status === 404);
       t.is((await fleet.call(cutOff, '/b/x')).status, 200);
@@ -218,7 +218,7 @@
     }),
   );
 
-  itAlone('should not make a daemon miss what was written while its history went', (t) =>
+  itAlone('should not make a daemon miss a version that was written before a compaction', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -230,7 +230,7 @@
     }),
   );
 
-  itAlone('should not let an older version come back', (t) =>
+  itAlone('should not bring an older version back into force', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const old = fleet.store.newest('keyed.op').get('config') ?? '';
@@ -247,31 +247,34 @@
 });
 
 describe('the record of a host in the log', () => {
-  itAlone('should be written anew when a late write put an older one last, or it was erased', (t) =>
+  itAlone('should be rewritten after a late write of an older one, and after its removal', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
       await fleet.untilServing('/a/warm');
-      await fleet.until('the log to have it', () => fleet.store.newest(kTopic).has('h1'));
+      await fleet.until('the log to have the record', () => fleet.store.newest(kTopic).has('h1'));
       const older = fleet.store.newest(kTopic).get('h1') ?? '';
       await host.target.beat(host.control, 'draining');
-      await fleet.until('the log to know the newer one', () => fleet.store.newest(kTopic).get('h1')?.includes('"draining"') === true);
+      await fleet.until('the log to have the newer record', () => fleet.store.newest(kTopic).get('h1')?.includes('"draining"') === true);
       fleet.store.put(kTopic, 'h1', older);
-      await fleet.until('the newer one to be back', () => fleet.store.newest(kTopic).get('h1')?.includes('"draining"') === true);
+      await fleet.until('the newer record to be restored', () => fleet.store.newest(kTopic).get('h1')?.includes('"draining"') === true);
       fleet.store.put(kTopic, 'h1', '');
-      await fleet.until('it to be back after an erasure', () => fleet.store.newest(kTopic).get('h1')?.includes('"draining"') === true);
+      await fleet.until(
+        'the record to be restored after its removal',
+        () => fleet.store.newest(kTopic).get('h1')?.includes('"draining"') === true,
+      );
       t.pass();
     }),
   );
 
-  itAlone('should be awaited by a daemon that starts again, though a peer that knows nothing answers first', (t) =>
+  itAlone('should be awaited by a restarted daemon, though a peer without it responds first', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const target = new UpstreamStandin('i-h1', 'reads');
       const own = { host: 'h1', zone: 'z1', peers: '127.0.0.1:9', service: 'reads', instance: 'i-h1', state: 'draining', slots: 20 };
       fleet.store.put(kTopic, 'h1', JSON.stringify({ ...own, epoch: 1, revision: 5 }));
       const peer = await fleet.add('h2', 'other');
-      await fleet.until('the ignorant daemon to be ready', async () => (await fleet.readiness(peer)) === 200);
+      await fleet.until('the peer to be ready', async () => (await fleet.readiness(peer)) === 200);
       const again = await fleet.add('h1', 'reads', { target });
       const statuses = await Promise.all(Array.from({ length: 40 }, async () => (await fleet.call(again, '/a/x')).status));
       t.true(statuses.every((status) => status === 503));
@@ -280,8 +283,8 @@
   );
 });
 
-describe('a planned stop', () => {
-  itAlone('should end what runs, be unready at once, and send callers elsewhere', (t) =>
+describe('a graceful shutdown', () => {
+  itAlone('should complete running calls, be unready at once, and close caller connections', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 4_000 }]);
       const stops = await fleet.add('h1', 'reads');
@@ -304,7 +307,7 @@
     }),
   );
 
-  itAlone('should answer a request that came late in the stop, though it takes longer than what was left to wait', (t) =>
+  itAlone('should serve a request that arrives late in the shutdown and takes longer than the remaining wait', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 4_000 }]);
       const stops = await fleet.add('h1', 'other');
--- a/tests/mesh/lethalRequests.spec.ts
+++ b/tests/mesh/lethalRequests.spec.ts
@@ -3,20 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * Requests that end the targets they run on.
- *
- * Seen: all four targets of a service were down again and again for half a minute, and four fifths of the calls on its route failed. Each
- * time they were back, a request on the same path, from whichever host, ended them one after the other: twenty ends by one kind of request.
- *
- * How it came about: a target ends, the connections to it are reset, and the daemon beside it reports "lost" for all that ran there, as
- * it does for a connection that broke. Its caller's daemon sends an idempotent request to the next target, up to the attempts of its route,
- * and to the next. When the request comes again, nobody knows of it.
- *
- * Cause: nothing tells the end of a target from the end of a connection, and nothing outlives the request. What proved it: in the lines of
- * the failed requests all offers ended as "connection: ECONNRESET" within one run's time of each other, at targets whose next connection
- * was refused, while those that came again a second later went through the same three offers.
- */
+/** Guards against a lethal request, which crashes the target it runs on, taking down one target after another through its retries. */
 
 import type { ExecutionContext } from 'ava';
 import { CrashingTarget } from '../platform/crashingTarget.js';
@@ -26,19 +13,19 @@
 const kHosts = 6;
 const kRunMs = 10_000;
 const kNormalIntervalMs = 8;
-/** Every so many innocent calls one is the lookup that all share. */
+/** Every n-th normal call requests the same shared path. */
 const kSharedEvery = 4;
-/** Ends of targets that one kind of request may cause on the whole fleet. */
+/** Maximum number of crashes that requests with one fingerprint may cause in the whole fleet. */
 const kMaxCrashes = 3;
 const kMaxFailureShare = 0.02;
 
 interface Load {
-  /** Requests that end their targets, sent at any host each so many milliseconds. */
+  /** Requests that crash their targets, sent to alternating hosts at an interval. */
   lethal?: { everyMs: number; method: 'GET' | 'POST'; path: string; body?: string }[];
-  /** Every so many milliseconds a target ends by itself. */
+  /** Interval of crashes that no request causes, in milliseconds. */
   crashEveryMs?: number;
   idempotent?: boolean;
-  /** Hosts of other services, where requests come in too. */
+  /** Number of hosts of other services that receive requests too. */
   otherHosts?: number;
 }
 
@@ -47,7 +34,7 @@
   failed: number;
   lethal: number;
   crashes: number;
-  /** Answers to innocent calls that were not served, by status and text. */
+  /** Number of failed normal calls by status and body. */
   failures: Map<string, number>;
 }
 
@@ -86,7 +73,7 @@
   return host;
 }
 
-/** Sends the load for a while; every answer is counted. */
+/** Sends the load for `kRunMs`, and counts all responses. */
 async function runLoad(fleet: MeshFleet, { lethal = [], crashEveryMs, idempotent = true, otherHosts = 0 }: Load): Promise<Tally> {
   const { hosts, targets } = await buildFleet(fleet, idempotent, otherHosts);
   const tally: Tally = { normal: 0, failed: 0, lethal: 0, crashes: 0, failures: new Map() };
@@ -132,38 +119,38 @@
 
 function check(t: ExecutionContext, tally: Tally, maxCrashes: number): void {
   const summary = JSON.stringify({ ...tally, failures: [...tally.failures] });
-  t.true(tally.crashes <= maxCrashes, `expected at most ${maxCrashes} ends, got ${summary}`);
-  t.true(tally.failed <= tally.normal * kMaxFailureShare, `expected at most 2% of the innocent calls not served, got ${summary}`);
+  t.true(tally.crashes <= maxCrashes, `expected at most ${maxCrashes} crashes, got ${summary}`);
+  t.true(tally.failed <= tally.normal * kMaxFailureShare, `expected at most 2% of the normal calls to fail, got ${summary}`);
 }
 
-describe('a request that ends the targets it runs on', () => {
-  itAlone('should end three at most when it is idempotent and comes every 0.3 s at any host', async (t) => {
+describe('a request that crashes the targets it runs on', () => {
+  itAlone('should crash at most three when it is idempotent and arrives every 0.3 s at any host', async (t) => {
     await withFleet(async (fleet) => {
       check(t, await runLoad(fleet, { lethal: [{ everyMs: 300, method: 'GET', path: '/s/lethal' }] }), kMaxCrashes);
     });
   });
 
-  itAlone('should end three at most when only its body sets it apart from good ones', async (t) => {
+  itAlone('should crash at most three when only its body differs from normal requests', async (t) => {
     await withFleet(async (fleet) => {
       check(t, await runLoad(fleet, { lethal: [{ everyMs: 300, method: 'POST', path: '/s/items/', body: '{"lethal":1}' }] }), kMaxCrashes);
     });
   });
 
-  itAlone('should end three at most when it may run only once', async (t) => {
+  itAlone('should crash at most three when it is not idempotent', async (t) => {
     await withFleet(async (fleet) => {
       const lethal = [{ everyMs: 300, method: 'POST' as const, path: '/once/lethal', body: '{}' }];
       check(t, await runLoad(fleet, { lethal, idempotent: false }), kMaxCrashes);
     });
   });
 
-  itAlone('should end three at most when it comes in at hosts of several services', async (t) => {
+  itAlone('should crash at most three when it arrives at hosts of several services', async (t) => {
     await withFleet(async (fleet) => {
       const lethal = [{ everyMs: 300, method: 'GET' as const, path: '/s/lethal' }];
       check(t, await runLoad(fleet, { lethal, otherHosts: 3 }), kMaxCrashes);
     });
   });
 
-  itAlone('should end three at most also beside another kind of such requests', async (t) => {
+  itAlone('should crash at most three per fingerprint when there are two fingerprints', async (t) => {
     await withFleet(async (fleet) => {
       const paths = ['/s/lethal/a', '/s/lethal/b'];
       const lethal = paths.map((path) => ({ everyMs: 450, method: 'GET' as const, path }));
@@ -172,14 +159,14 @@
   });
 });
 
-describe('targets that end by themselves', () => {
-  itAlone('should cost no request its turn', async (t) => {
+describe('targets that crash independently of requests', () => {
+  itAlone('should cause no request to be quarantined', async (t) => {
     await withFleet(async (fleet) => {
       const tally = await runLoad(fleet, { crashEveryMs: 550 });
       check(t, tally, Infinity);
       t.false(
         [...tally.failures.keys()].some((failure) => failure.includes('quarantined')),
-        `expected nothing to be held back, got ${JSON.stringify([...tally.failures])}`,
+        `expected no quarantined request, got ${JSON.stringify([...tally.failures])}`,
       );
     });
   });
--- a/tests/mesh/logFollower.spec.ts
+++ b/tests/mesh/logFollower.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Calls to the platform's log by a zone of daemons, and what reaches them when readers or the log fail. No network: virtual time. */
+/** Tests the log calls of a zone and the propagation of changes when readers or the log fail, in virtual time without a network. */
 
 import { monotonicMs, type TargetRecord, TargetDirectory } from '@gentiandrum/core';
 import { type ConfigSource, EventLog, LogFollower, type PeerMessage, type RecordLog } from '@gentiandrum/mesh';
@@ -15,7 +15,7 @@
 const kTickMs = 100;
 const kReadDurationMs = 3_000;
 const kInForceMs = 2_000;
-/** Daemons that one tells of a version that is new to it. */
+/** Number of daemons that each daemon notifies of a new version. */
 const kSpread = 4;
 
 function settingsOf(id: string, firstStart: boolean): MeshSettings {
@@ -29,7 +29,7 @@
   });
 }
 
-/** The log: how many calls it took, the version of its configuration, and the hosts that it turns away. */
+/** Fake log that counts calls, and refuses those of some hosts. */
 class FakeLog {
   calls = 0;
   appends = 0;
@@ -38,7 +38,7 @@
   readonly written = new Map<string, TargetRecord>();
 }
 
-/** One topic as a daemon reads it: each answered read takes `kReadMs`, and a new version ends it at once. */
+/** Fake topic: each successful read takes `kReadDurationMs`, and delivers a new version at once. */
 class FakeView {
   answeredAt = -Infinity;
   failing = false;
@@ -64,7 +64,7 @@
     this.following = false;
   }
 
-  /** Goes on with a read that waits; called often. */
+  /** Advances a pending read; called at each tick. */
   step(): void {
     if (this.following && this._time.now >= this._nextRead) {
       this._nextRead = this._time.now + (this._call() ? kReadDurationMs : 1_200);
@@ -131,7 +131,7 @@
     });
   }
 
-  /** Passes a version on that it did not have. */
+  /** Applies a newer version, and notifies other daemons. */
   take(version: number, zone: FakeZone): void {
     if (version > this.version) {
       this.version = version;
@@ -140,7 +140,7 @@
   }
 }
 
-/** Daemons of one zone, each linked with all others. */
+/** Fully linked daemons of one zone. */
 class FakeZone {
   readonly log = new FakeLog();
   readonly daemons: FakeDaemon[];
@@ -167,7 +167,7 @@
     return this.daemons.filter(({ alive, follower }) => alive && follower.readsLog);
   }
 
-  /** Ends a daemon without a word; `seen` when the others' connections to it were reset. */
+  /** Kills a daemon; `seen` when the other daemons notice that its connections are reset. */
   kill(daemon: FakeDaemon, seen: boolean): void {
     daemon.alive = false;
     if (seen) {
@@ -185,7 +185,7 @@
     }
   }
 
-  /** Tells the daemons that come next of a version. */
+  /** Notifies `kSpread` other daemons of a version. */
   spread(from: FakeDaemon): void {
     const at = this.daemons.indexOf(from);
     for (let i = 1; i <= kSpread; i++) {
@@ -196,7 +196,7 @@
     }
   }
 
-  /** Lets time go on; promises settle between the ticks. */
+  /** Advances the virtual time; promises settle between the ticks. */
   async run(ms: number): Promise<void> {
     const end = this.now + ms;
     while (this.now < end) {
@@ -239,8 +239,8 @@
   }
 }
 
-describe('the first start of a deployment', () => {
-  itAlone('should have nobody read for others while hosts are still finding each other', async (t) => {
+describe('the initial start of a deployment', () => {
+  itAlone('should have no reader while hosts are still discovering each other', async (t) => {
     const time = new VirtualTime();
     try {
       const zone = new FakeZone(40, time, true);
@@ -257,8 +257,8 @@
   });
 });
 
-describe('the calls of a zone to the log', () => {
-  itAlone('should hardly grow with its hosts', async (t) => {
+describe('the log calls of a zone', () => {
+  itAlone('should not grow with the number of hosts', async (t) => {
     const calls: number[] = [];
     for (const count of [10, 40]) {
       await withZone(count, async (zone) => {
@@ -272,7 +272,7 @@
     t.true(many <= few + 5, String(many));
   });
 
-  itAlone('should bring the records of all hosts in a few appends, and say so to the hosts', (t) =>
+  itAlone('should write the records of all hosts in a few appends', (t) =>
     withZone(40, async (zone) => {
       await zone.run(10_000);
       t.is(zone.log.written.size, 40);
@@ -280,20 +280,20 @@
     }),
   );
 
-  itAlone('should stay few while the log answers nobody', (t) =>
+  itAlone('should stay few while the log is unavailable', (t) =>
     withZone(40, async (zone) => {
       zone.daemons.forEach(({ host }) => zone.log.refused.add(host));
       await zone.run(5_000);
       zone.log.calls = 0;
       await zone.run(20_000);
-      // 200 of readers that go on trying, and 39 members that look less and less often.
+      // Readers keep retrying, about 200 calls, while the other members poll at increasing intervals.
       t.true(zone.log.calls <= 260, String(zone.log.calls));
     }),
   );
 });
 
 describe('a new version', () => {
-  /** Longest time until every living daemon has it, in milliseconds. */
+  /** Time until every running daemon has the version, in milliseconds. */
   async function spreadMs(zone: FakeZone): Promise<number> {
     const from = zone.now;
     zone.log.version++;
@@ -306,14 +306,14 @@
     return zone.now - from;
   }
 
-  itAlone('should reach all while all is well, though most read nothing', (t) =>
+  itAlone('should reach all daemons though only the readers follow the log', (t) =>
     withZone(40, async (zone) => {
       t.is(zone.readers.length, 2);
       t.true((await spreadMs(zone)) <= 700);
     }),
   );
 
-  itAlone('should be in time when one reader is killed or freezes', async (t) => {
+  itAlone('should arrive in time when one reader is killed or freezes', async (t) => {
     for (const seen of [true, false]) {
       await withZone(40, async (zone) => {
         const [reader] = zone.readers;
@@ -325,7 +325,7 @@
     }
   });
 
-  itAlone('should be in time when both readers are killed, and when both freeze', async (t) => {
+  itAlone('should arrive in time when both readers are killed or freeze', async (t) => {
     for (const seen of [true, false]) {
       await withZone(40, async (zone) => {
         zone.readers.forEach((reader) => {
@@ -336,7 +336,7 @@
     }
   });
 
-  itAlone('should be in time when the log turns the readers away, and a third of the others', (t) =>
+  itAlone('should arrive in time when the log refuses the readers and a third of the other daemons', (t) =>
     withZone(40, async (zone) => {
       zone.readers.forEach(({ host }) => zone.log.refused.add(host));
       zone.daemons.filter((_, i) => i % 3 === 0).forEach(({ host }) => zone.log.refused.add(host));
@@ -345,7 +345,7 @@
     }),
   );
 
-  itAlone('should reach all within seconds once the log is back', (t) =>
+  itAlone('should reach all daemons within seconds once the log is available again', (t) =>
     withZone(40, async (zone) => {
       zone.daemons.forEach(({ host }) => zone.log.refused.add(host));
       await zone.run(15_000);
@@ -356,7 +356,7 @@
 });
 
 describe('a record that no reader writes', () => {
-  itAlone('should be written by its own host', (t) =>
+  itAlone('should be written by its host', (t) =>
     withZone(10, async (zone) => {
       await zone.run(5_000);
       const lone = zone.daemons.find(({ follower }) => !follower.readsLog);
--- a/tests/mesh/meshFleet.ts
+++ b/tests/mesh/meshFleet.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Routing daemons in one process, each with a target, over the stand-in of the platform's store. */
+/** Fleet of routing daemons and targets in one process, with a fake of the platform's store. */
 
 import { EventLog, MeshDaemon } from '@gentiandrum/mesh';
 import { adaptPlatform } from '@gentiandrum/platform';
@@ -13,7 +13,7 @@
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
 import { freeAddresses } from '../support/freePorts.js';
 
-/** One route of a test's configuration, with what differs from the usual. */
+/** Route of a test configuration; omitted fields have defaults. */
 export interface TestRoute {
   prefix: string;
   service?: string;
@@ -25,7 +25,7 @@
   exempt?: boolean;
 }
 
-/** A workspace of a test's configuration. */
+/** Workspace of a test configuration. */
 export interface TestWorkspace {
   name: string;
   keys: string[];
@@ -34,14 +34,14 @@
   burst?: number;
 }
 
-/** An answer as a caller got it. */
+/** Response as received by a caller. */
 export interface CallerResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   body: string;
 }
 
-/** Where the daemon of a host is reached. */
+/** Id, zone and listen addresses of a host's daemon. */
 export interface HostEndpoints {
   id: string;
   calls: string;
@@ -51,14 +51,14 @@
   zone: string;
 }
 
-/** One host of the fleet. */
+/** Host of the fleet with its running daemon. */
 export interface FleetHost extends HostEndpoints {
   settings: MeshSettings;
   daemon: MeshDaemon;
   target: UpstreamStandin;
 }
 
-/** A host without its daemon. */
+/** Host whose daemon is not started yet. */
 export interface PreparedHost {
   settings: MeshSettings;
   target: UpstreamStandin;
@@ -69,7 +69,7 @@
 const kTimeoutMs = 10_000;
 const kPollMs = 10;
 
-/** Several daemons and their targets. */
+/** Daemons, their targets and the store. */
 export class MeshFleet {
   readonly store = new StoreStandin();
   readonly hosts: FleetHost[] = [];
@@ -123,7 +123,7 @@
     return this._version;
   }
 
-  /** Addresses, settings and target of a host whose daemon is not started yet. */
+  /** Prepares a host without starting its daemon; starts the target if needed. */
   async prepare(
     id: string,
     service: string,
@@ -149,7 +149,7 @@
     return { settings, target, host: { id, calls, ready, control, metrics, zone } };
   }
 
-  /** Starts a daemon beside a target; `beat` lets the target announce itself. */
+  /** Starts a host; the target announces itself unless `beat` is false. */
   async add(
     id: string,
     service: string,
@@ -159,12 +159,12 @@
     return this._start(settings, target, place, options.beat !== false);
   }
 
-  /** Starts the daemon of a host that was prepared; its target says nothing yet. */
+  /** Starts the daemon of a prepared host, without an announcement of its target. */
   async startPrepared({ settings, target, host }: PreparedHost): Promise<FleetHost> {
     return this._start(settings, target, host, false);
   }
 
-  /** Starts a daemon again where it was, beside the same target, which says nothing yet. */
+  /** Restarts the daemon of a host with the same target, without an announcement of the target. */
   async restart({ settings, target, ...place }: FleetHost): Promise<FleetHost> {
     return this._start(settings, target, place, false);
   }
@@ -182,7 +182,7 @@
     return host;
   }
 
-  /** Waits until a condition holds; fails the test by a throw when it never does. */
+  /** Waits until a condition holds; throws after a timeout. */
   async until(what: string, holds: () => boolean | Promise<boolean>): Promise<void> {
     const end = performance.now() + kTimeoutMs;
     while (!(await holds())) {
@@ -193,7 +193,7 @@
     }
   }
 
-  /** Waits until every daemon is ready and answers on a path. */
+  /** Waits until every daemon is linked with all others and serves a path. */
   async untilServing(path: string): Promise<void> {
     for (const host of this.hosts) {
       await this.until(`${host.id} to be linked with all others`, () => host.daemon.reachable === this.hosts.length - 1);
@@ -217,26 +217,26 @@
     return { status: res.statusCode, headers: res.headers, body: await res.body.text() };
   }
 
-  /** The metrics of a daemon, as text. */
+  /** Returns the metrics of a daemon as text. */
   async metrics(host: FleetHost): Promise<string> {
     const res = await request(`http://${host.metrics}/metrics`);
     return res.body.text();
   }
 
-  /** Status of a readiness check. */
+  /** Returns the status of a readiness check. */
   async readiness(host: FleetHost): Promise<number> {
     const res = await request(`http://${host.ready}/v1/readiness`);
     await res.body.dump();
     return res.statusCode;
   }
 
-  /** Ends a daemon at once; its target goes on. */
+  /** Stops a daemon immediately; its target keeps running. */
   kill(host: FleetHost): void {
     this.hosts.splice(this.hosts.indexOf(host), 1);
     host.daemon.close();
   }
 
-  /** Ends everything. */
+  /** Stops all daemons, targets and the store. */
   async close(): Promise<void> {
     this.hosts.forEach(({ daemon }) => {
       daemon.close();
@@ -249,7 +249,7 @@
   }
 }
 
-/** Runs a test with a fleet of its own. */
+/** Runs a test with a new fleet. */
 export async function withFleet(body: (fleet: MeshFleet) => Promise<void>): Promise<void> {
   const fleet = new MeshFleet();
   await fleet.start();
--- a/tests/mesh/metrics.spec.ts
+++ b/tests/mesh/metrics.spec.ts
@@ -7,7 +7,7 @@
 import { withFleet } from './meshFleet.js';
 
 describe('metrics of a routing daemon', () => {
-  itAlone('should count requests by service, outcome and reason, and show what the daemon believes', (t) =>
+  itAlone('should count requests by service, outcome and reason, and expose the state of the daemon', (t) =>
     withFleet(async (fleet) => {
       const version = fleet.configure([
         { prefix: '/a/', service: 'reads' },
--- a/tests/mesh/quarantineLasts.spec.ts
+++ b/tests/mesh/quarantineLasts.spec.ts
@@ -12,7 +12,7 @@
 const kLethalPath = '/s/lethal';
 const kHosts = 4;
 
-/** Hosts whose targets end by one request until `mended` says otherwise. */
+/** Starts hosts whose targets crash on requests to `kLethalPath` until `fixed` returns true. */
 async function buildFleet(fleet: MeshFleet, fixed: () => boolean): Promise<CrashingTarget[]> {
   fleet.configure([{ prefix: '/s/', service: 's', maxAttempts: 3 }]);
   const targets: CrashingTarget[] = [];
@@ -46,16 +46,16 @@
   return suspects;
 }
 
-/** Sends the request until it is held back everywhere. */
+/** Sends the lethal request until it is quarantined. */
 async function untilQuarantined(fleet: MeshFleet): Promise<void> {
-  await fleet.until('the kind to be held back', async () => {
+  await fleet.until('the fingerprint to be quarantined', async () => {
     const { status, body } = await fleet.call(anyHost(fleet), kLethalPath);
     return status === 503 && body.includes('quarantined');
   });
 }
 
-describe('a kind of request that is held back', () => {
-  itAlone('should be refused at once as not run, with a time to come again', async (t) => {
+describe('a quarantined request fingerprint', () => {
+  itAlone('should be refused as not run, with a retry delay', async (t) => {
     await withFleet(async (fleet) => {
       const targets = await buildFleet(fleet, () => false);
       await untilQuarantined(fleet);
@@ -72,16 +72,16 @@
     });
   });
 
-  itAlone('should stay held back by a daemon that starts again, and by all of them', async (t) => {
+  itAlone('should stay quarantined after a restart of one daemon, and of all daemons', async (t) => {
     await withFleet(async (fleet) => {
       const targets = await buildFleet(fleet, () => false);
       await untilQuarantined(fleet);
       const one = anyHost(fleet);
       fleet.kill(one);
       const restarted = await fleet.restart(one);
-      await fleet.until('the daemon to know the kind again', async () => (await suspectsOf(restarted)).length === 1);
+      await fleet.until('the restarted daemon to know the fingerprint', async () => (await suspectsOf(restarted)).length === 1);
 
-      await fleet.until('the log to hold the kind', () =>
+      await fleet.until('the log to contain the fingerprint', () =>
         [...fleet.store.newest('keyed.gentiandrum-hosts').values()].some((text) => text.includes('suspects')),
       );
       const all = [...fleet.hosts];
@@ -92,7 +92,7 @@
         await fleet.restart(host);
       }
       await Promise.all(targets.map(({ current, control }) => current.beat(control)));
-      await fleet.until('every daemon to know the kind again', async () => {
+      await fleet.until('every daemon to know the fingerprint', async () => {
         const known = await Promise.all(fleet.hosts.map((host) => suspectsOf(host)));
         return known.every((suspects) => suspects.some(({ verdict }) => verdict === 'quarantined'));
       });
@@ -107,7 +107,7 @@
     });
   });
 
-  itAlone('should run again everywhere once an operator lets it, and be cleared by its first success', async (t) => {
+  itAlone('should run again at all hosts after an operator releases it, and be cleared by its first success', async (t) => {
     await withFleet(async (fleet) => {
       let fixed = false;
       const targets = await buildFleet(fleet, () => fixed);
@@ -116,7 +116,7 @@
       t.is(suspect?.verdict, 'quarantined');
       t.is(suspect?.marks.length, 3);
       fixed = true;
-      await fleet.until('all targets to be back', () => fleet.hosts.every(({ daemon }) => daemon.record.state === 'ready'));
+      await fleet.until('all targets to be ready again', () => fleet.hosts.every(({ daemon }) => daemon.record.state === 'ready'));
       const path = `/-/suspects/${suspect?.fingerprint ?? ''}/release`;
       const unknown = await request(`http://${anyHost(fleet).metrics}/-/suspects/none/release`, { method: 'POST' });
       t.is(unknown.statusCode, 404);
@@ -125,7 +125,7 @@
       t.is(released.statusCode, 200);
       await released.body.dump();
       for (const host of fleet.hosts) {
-        await fleet.until('the kind to run again', async () => (await fleet.call(host, kLethalPath)).status === 200);
+        await fleet.until('the request to be served again', async () => (await fleet.call(host, kLethalPath)).status === 200);
         t.deepEqual(await suspectsOf(host), []);
       }
       targets.forEach((target) => {
--- a/tests/mesh/storeEra.spec.ts
+++ b/tests/mesh/storeEra.spec.ts
@@ -4,9 +4,8 @@
  */
 
 /**
- * The platform's store comes back from a copy some seconds old. What daemons wrote since is gone, and nobody writes it again but they;
- * offsets go back and are given out again, so a reader that goes on from its old one waits beyond the end, and never sees what is
- * written below it. The era in the answers tells.
+ * Guards against lost updates after the store is restored from an older copy: offsets are reused, so a reader that continues at its old
+ * offset would miss new records. The era in the responses reveals the restore.
  */
 
 import { describe, itAlone } from '../support/describe.js';
@@ -15,24 +14,27 @@
 const kRecords = 'keyed.gentiandrum-hosts';
 const kConfig = 'keyed.op';
 
-describe('a store that comes back from a copy', () => {
-  itAlone('should bring no older configuration into force, and have the next one read wherever it stands', (t) =>
+describe('a store that is restored from an older copy', () => {
+  itAlone('should not bring an older configuration into force, and should deliver the next one at any offset', (t) =>
     withFleet(async (fleet) => {
       fleet.store.era = 4;
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const host = await fleet.add('a', 's');
       await fleet.untilServing('/s/1');
       const lost = [fleet.configure([{ prefix: '/s/', service: 's' }]), fleet.configure([{ prefix: '/new/', service: 's' }])];
-      await fleet.until('the newest to be in force', async () => (await fleet.call(host, '/new/1')).status === 200);
-      // As many are written as were lost, so that the old offset is the end of the log again.
+      await fleet.until('the newest version to be in force', async () => (await fleet.call(host, '/new/1')).status === 200);
+      // Writes as many versions as were lost, so that the old offset is the end of the log again.
       fleet.store.rewind(kConfig, lost.length);
       lost.forEach((_, i) => fleet.configure([{ prefix: `/newer/${i}/`, service: 's' }]));
-      await fleet.until('what is written now to be in force', async () => (await fleet.call(host, '/newer/1/x')).status === 200);
+      await fleet.until(
+        'the version written after the restore to be in force',
+        async () => (await fleet.call(host, '/newer/1/x')).status === 200,
+      );
       t.is((await fleet.call(host, '/s/2')).status, 404);
     }),
   );
 
-  itAlone('should have the records of all hosts again soon', (t) =>
+  itAlone('should receive the records of all hosts again', (t) =>
     withFleet(async (fleet) => {
       fleet.store.era = 4;
       fleet.configure([{ prefix: '/s/', service: 's' }]);
@@ -53,7 +55,7 @@
     }),
   );
 
-  itAlone('should be believed in nothing that it said before, and era that can not be read change nothing', (t) =>
+  itAlone('should have responses of an older era ignored, and an unreadable era have no effect', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const host = await fleet.add('a', 's');
@@ -63,16 +65,16 @@
         { prefix: '/s/', service: 's' },
         { prefix: '/t/', service: 's' },
       ]);
-      await fleet.until('a configuration to be taken', async () => (await fleet.call(host, '/t/1')).status === 200);
+      await fleet.until('a configuration to be applied', async () => (await fleet.call(host, '/t/1')).status === 200);
       fleet.store.era = 9;
       fleet.configure([{ prefix: '/u/', service: 's' }]);
-      await fleet.until('the next one to be taken', async () => (await fleet.call(host, '/u/1')).status === 200);
+      await fleet.until('the next one to be applied', async () => (await fleet.call(host, '/u/1')).status === 200);
       fleet.store.era = 8;
       fleet.configure([{ prefix: '/old/', service: 's' }]);
       await new Promise((resolve) => setTimeout(resolve, 500));
       t.is((await fleet.call(host, '/u/2')).status, 200);
       fleet.store.era = 9;
-      await fleet.until('the answers to count again', async () => (await fleet.call(host, '/old/1')).status === 200);
+      await fleet.until('the responses to be accepted again', async () => (await fleet.call(host, '/old/1')).status === 200);
     }),
   );
 });
--- a/tests/mesh/suspension.spec.ts
+++ b/tests/mesh/suspension.spec.ts
@@ -4,9 +4,8 @@
  */
 
 /**
- * A host that is suspended for seconds. The steady clock does not count that time, so a proof that the configuration is fresh looked as
- * young after it as before: a key that was revoked meanwhile still ran requests, for as long as the proof had left. The time of day
- * counts it. Here the steady clock goes on as it is, and the time of day jumps as it does on waking up.
+ * Guards against revoked keys that are accepted after a suspension of the host: the monotonic clock does not count that time, so a
+ * freshness proof would look newer than it is. The tests simulate a suspension by a jump of the wall clock.
  */
 
 import { describe, itAlone } from '../support/describe.js';
@@ -29,7 +28,7 @@
   return host;
 }
 
-/** Runs with a time of day that has gone on while the steady clock stood still. */
+/** Runs with a wall clock that has advanced while the monotonic clock has not. */
 async function afterSuspension(body: () => Promise<void>): Promise<void> {
   const { now } = Date;
   Date.now = () => now() + kSuspendedMs;
@@ -41,7 +40,7 @@
 }
 
 describe('a host that was suspended', () => {
-  itAlone('should run no request with a key on a proof from before, and others as usual', (t) =>
+  itAlone('should refuse requests with keys while its proof is from before, and serve others', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       fleet.store.mode = 'silent';
@@ -56,7 +55,7 @@
     }),
   );
 
-  itAlone('should run requests with keys again once the log has answered', (t) =>
+  itAlone('should serve requests with keys again once the log has responded', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       await afterSuspension(async () => {
@@ -66,7 +65,7 @@
     }),
   );
 
-  itAlone('should tell how often, in its metrics', (t) =>
+  itAlone('should count suspensions in its metrics', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       await afterSuspension(async () => {
@@ -76,7 +75,7 @@
     }),
   );
 
-  itAlone('should not be seen in a time of day that is set back', (t) =>
+  itAlone('should not be detected when the wall clock is set back', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       const { now } = Date;
--- a/tests/mesh/workspaces.spec.ts
+++ b/tests/mesh/workspaces.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Keys, revocation and quotas over real sockets. */
+/** Tests keys, revocation and quotas over real sockets. */
 
 import { describe, itAlone } from '../support/describe.js';
 import { type CallerResponse, type FleetHost, type MeshFleet, type TestWorkspace, withFleet } from './meshFleet.js';
@@ -21,7 +21,7 @@
   return { authorization: `Bearer ${key}` };
 }
 
-/** One daemon that serves with keys. */
+/** Starts one host that serves requests with keys. */
 async function start(fleet: MeshFleet, workspaces: TestWorkspace[] = [kCrew], settings: Record<string, unknown> = {}): Promise<FleetHost> {
   fleet.configure(kRoutes, {}, 50, workspaces);
   const host = await fleet.add('h1', 'reads', { settings });
@@ -31,7 +31,7 @@
 }
 
 describe('keys', () => {
-  itAlone('should be needed, stay at the daemon, and give the target the name of their workspace whatever the caller says', (t) =>
+  itAlone('should be required, be removed by the daemon, and set the workspace header for the target', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       const refused = await fleet.call(host, '/a/x');
@@ -49,7 +49,7 @@
     }),
   );
 
-  itAlone('should not be looked at on exempt routes, and not passed on either', (t) =>
+  itAlone('should be neither checked nor forwarded on exempt routes', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       for (const headers of [{}, bearer('key-of-crew'), bearer('nobody'), { 'x-tenant-id': 'crew' }]) {
@@ -60,7 +60,7 @@
     }),
   );
 
-  itAlone('should not be asked for, but passed on, without workspaces', (t) =>
+  itAlone('should be forwarded and not required without workspaces', (t) =>
     withFleet(async (fleet) => {
       fleet.configure(kRoutes);
       const host = await fleet.add('h1', 'reads');
@@ -71,7 +71,7 @@
     }),
   );
 
-  itAlone('should be refused when two headers differ', (t) =>
+  itAlone('should be refused when two authorization headers differ', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       for (const [second, status] of [
@@ -86,14 +86,14 @@
     }),
   );
 
-  itAlone('should work for the workspace that the newest version says, and for none once they are taken away', (t) =>
+  itAlone('should belong to their workspace in the newest version, and be refused once removed', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       fleet.configure(kRoutes, {}, 50, [
         { ...kCrew, keys: ['second-key'] },
         { name: 'office', keys: ['key-of-crew'] },
       ]);
-      await fleet.until('the key to be the office’s', async () => {
+      await fleet.until('the key to belong to the workspace office', async () => {
         await fleet.call(host, '/a/x', { headers: bearer('key-of-crew') });
         return host.target.seen.at(-1)?.workspace === 'office';
       });
@@ -105,7 +105,7 @@
     }),
   );
 
-  itAlone('should stand in no metric', (t) =>
+  itAlone('should not appear in metrics', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       await fleet.call(host, '/a/x', { headers: bearer('unknown-key') });
@@ -117,7 +117,7 @@
 });
 
 describe('revocation', () => {
-  itAlone('should end requests with keys at a daemon that the log does not answer, and nothing else', (t) =>
+  itAlone('should refuse only requests with keys at a daemon that receives no response from the log', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet, [kCrew], kStrict);
       fleet.store.mode = 'silent';
@@ -131,7 +131,7 @@
       });
       t.is((await fleet.call(host, '/open/x')).status, 200);
       t.is((await fleet.call(host, '/a/x')).status, 401);
-      // The proof may be a read old when the log falls silent; a slow test may only see the refusal later than it began.
+      // The proof may be as old as one read when the log stops responding, and a slow test sees the refusal late.
       t.true(refusedAt - silentAt > 0);
       fleet.store.mode = 'serving';
       await fleet.until('requests with keys to be served again', async () => {
@@ -140,7 +140,7 @@
     }),
   );
 
-  itAlone('should not concern daemons where it is not strict', (t) =>
+  itAlone('should not affect daemons where it is not strict', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet, [kCrew], { ...kStrict, revocation: { strict: false, withinMs: 1_000 } });
       fleet.store.mode = 'silent';
@@ -149,7 +149,7 @@
     }),
   );
 
-  itAlone('should not stop a zone whose daemons the log refuses, while another zone can tell', (t) =>
+  itAlone('should not affect a zone whose daemons the log refuses while another zone has a proof', (t) =>
     withFleet(async (fleet) => {
       fleet.configure(kRoutes, {}, 50, [kCrew]);
       const reader = await fleet.add('h1', 'reads', { zone: 'z1', settings: kStrict });
@@ -157,7 +157,7 @@
         zone: 'z2',
         settings: { ...kStrict, log: { address: '127.0.0.1:9' } },
       });
-      // Strangers find each other by the log; this one can only be found.
+      // Daemons discover each other through the log. The log refuses h2, so its record is put there for h1 to find.
       await fleet.until('the first host to be served', async () => {
         return (await fleet.call(reader, '/a/x', { headers: bearer('key-of-crew') })).status === 200;
       });
@@ -175,7 +175,7 @@
 });
 
 describe('quotas', () => {
-  itAlone('should bound what runs over all daemons, say when to come back, and leave others alone', (t) =>
+  itAlone('should limit requests across all daemons, send a retry delay, and not affect other workspaces', (t) =>
     withFleet(async (fleet) => {
       const workspaces = [kCrew, { name: 'bulk', keys: ['key-of-bulk'], ratePerSecond: 5, burst: 5 }];
       const settings = { quotas: kQuota };
@@ -205,7 +205,7 @@
     }),
   );
 
-  itAlone('should give back the token of a request that did not run', (t) =>
+  itAlone('should return the token of a request that did not run', (t) =>
     withFleet(async (fleet) => {
       const workspaces = [{ name: 'bulk', keys: ['key-of-bulk'], ratePerSecond: 0.01, burst: 6 }];
       const host = await start(fleet, workspaces, {
