--- a/packages/mesh/src/app/calls/deadlines.ts
+++ b/packages/mesh/src/app/calls/deadlines.ts
@@ -3,41 +3,38 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * Deadlines of everything under way, looked at together: a timer of the runtime for each request costs more than the look, as
- * nearly all requests end before it.
- */
+/** Checks the deadlines of all requests in flight periodically, which is cheaper than one timer per request. */
 
 import { monotonicMs } from '@gentiandrum/core';
 
-/** Something that ends at a time. */
-export interface Due {
+/** An operation with a deadline. */
+export interface Expirable {
   /** On the monotonic clock. */
   readonly deadline: number;
-  /** Called once, when the deadline has passed. */
+  /** Called once, after the deadline has passed. */
   expire(): void;
 }
 
-/** The deadlines of one daemon. */
+/** Deadlines of the operations in flight at one daemon. */
 export class Deadlines {
-  private readonly _due = new Set<Due>();
+  private readonly _pending = new Set<Expirable>();
 
-  /** Expires `due` at the first look after its deadline, unless it is deleted before. */
-  add(due: Due): void {
-    this._due.add(due);
+  /** Expires `item` at the first check after its deadline, unless it is deleted before. */
+  add(item: Expirable): void {
+    this._pending.add(item);
   }
 
-  delete(due: Due): void {
-    this._due.delete(due);
+  delete(item: Expirable): void {
+    this._pending.delete(item);
   }
 
-  /** Expires what is due; called a few times a second. */
+  /** Expires overdue items; called several times per second. */
   check(): void {
     const now = monotonicMs();
-    for (const due of this._due) {
-      if (due.deadline <= now) {
-        this._due.delete(due);
-        due.expire();
+    for (const item of this._pending) {
+      if (item.deadline <= now) {
+        this._pending.delete(item);
+        item.expire();
       }
     }
   }
--- a/packages/mesh/src/app/latencyMetric.ts
+++ b/packages/mesh/src/app/latencyMetric.ts
@@ -3,25 +3,25 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Latency histogram of requests, in the form that the metrics library serves. */
+/** Latency histogram of requests, in the format of the metrics library. */
 
 import type { EntryResult } from '@gentiandrum/core';
 
-/** Bounds of the latency histogram, in seconds: from a call on the same host to the longest limits of routes. */
+/** Bucket bounds of the latency histogram, in seconds. */
 export const kLatencyBounds = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
 
-/** How a request ended at the ingress. */
+/** Outcome of a request at the ingress. */
 export type RequestOutcome = 'answered' | 'target_failed' | 'not_run' | 'lost' | 'timed_out' | Exclude<EntryResult['kind'], 'admitted'>;
 
-/** Requests that ended alike. */
-export interface RequestEnds {
+/** Totals of the requests with the same labels. */
+export interface RequestTotals {
   service: string;
   outcome: RequestOutcome;
   reason: string;
   count: number;
-  /** Sum of the times. */
+  /** Sum of the request times. */
   seconds: number;
-  /** Requests by the least bound of the histogram that holds their time. */
+  /** Number of requests per bucket, not cumulative; longer ones are only in `count`. */
   buckets: number[];
 }
 
@@ -31,32 +31,38 @@
   value: number;
 }
 
-/** Latency histogram in the library's form, from the ends that were noted. */
+/** Histogram in the format of the metrics library, built from request totals. */
 export class LatencyMetric {
   readonly name = 'gentiandrum_request_seconds';
   readonly help = 'Time from the last byte of a request to its final answer';
   readonly type = 'histogram';
   readonly aggregator = 'sum';
 
-  constructor(private readonly _ends: ReadonlyMap<string, RequestEnds>) {}
+  constructor(private readonly _totals: ReadonlyMap<string, RequestTotals>) {}
 
-  /** The values as of now. */
+  /** Current values. */
   get(): Promise<object> {
     const { name, help, type, aggregator } = this;
-    return Promise.resolve({ name, help, type, aggregator, values: [...this._ends.values()].flatMap((ends) => this._valuesOf(ends)) });
+    return Promise.resolve({
+      name,
+      help,
+      type,
+      aggregator,
+      values: [...this._totals.values()].flatMap((totals) => this._toValues(totals)),
+    });
   }
 
-  /** The ends are never forgotten. */
+  /** Does nothing: totals are kept for the life of the process. */
   reset(): void {
     return undefined;
   }
 
-  private _valuesOf({ service, outcome, reason, count, seconds, buckets }: RequestEnds): HistogramValue[] {
+  private _toValues({ service, outcome, reason, count, seconds, buckets }: RequestTotals): HistogramValue[] {
     const labels = { service, outcome, reason };
-    let below = 0;
+    let cumulative = 0;
     const bounded = kLatencyBounds.map((bound, i) => {
-      below += buckets[i] ?? 0;
-      return { metricName: `${this.name}_bucket`, labels: { ...labels, le: bound }, value: below };
+      cumulative += buckets[i] ?? 0;
+      return { metricName: `${this.name}_bucket`, labels: { ...labels, le: bound }, value: cumulative };
     });
     return [
       ...bounded,
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** One routing daemon: puts its parts together, starts them, and stops them in order. */
+/** Routing daemon: creates, connects, starts and stops its components. */
 
 import { setTimeout as pause } from 'node:timers/promises';
 import {
@@ -30,47 +30,41 @@
 import type { EventLog } from './eventLog.js';
 import { HostRecords, type HostRecordsDeps } from './records/hostRecords.js';
 import { LogFollower, type LogFollowerDeps } from './log/logFollower.js';
-import { type CallPlace, MeshMetrics, type MetricsView } from './meshMetrics.js';
+import { type TargetLocality, MeshMetrics, type MetricsView } from './meshMetrics.js';
 import { RecordSync } from './records/recordSync.js';
 import { RequestEntry } from './calls/requestEntry.js';
-import { logSuspectEvent } from './calls/suspectLines.js';
+import { logSuspectEvent } from './calls/logSuspectEvent.js';
 import { type OfferDone, type OfferHandle, TargetGate } from './calls/targetGate.js';
 import { Workspaces, type WorkspacesDeps } from './workspaces/workspaces.js';
 
-/** Longest time for which the answer to a leaving target waits until others know of it, in milliseconds: below one second. */
+/** Maximum time that the response to a draining target waits for the state to become durable, in milliseconds. */
 const kAckWaitMs = 500;
-/** Time for callers to turn away from a daemon that stops, in milliseconds: two readiness checks, a second apart, and a margin. */
-const kTurnAwayMs = 2_300;
-/** Time in which requests that crossed the close are still answered, in milliseconds. */
+/** Time for callers to stop sending requests to a daemon that shuts down, in milliseconds: two readiness checks and a margin. */
+const kDrainNoticeMs = 2_300;
+/** Minimum time for which requests that arrive during the close are served, in milliseconds. */
 const kLingerMs = 100;
-/** Part of the time for a stop that is left to spare, in milliseconds. */
+/** Part of the shutdown time that is kept as a reserve, in milliseconds. */
 const kStopMarginMs = 400;
-/** How often a stop looks for what still runs, in milliseconds. */
-const kStopCheckMs = 20;
-/**
- * How often everything is looked at that goes by time, in milliseconds: levels, links, deadlines, connections. A few times within
- * the time that a change of a level takes to show; on one timer, as waking up costs more than the look.
- */
+/** Interval between checks for running calls during a shutdown, in milliseconds. */
+const kStopPollMs = 20;
+/** Interval between the periodic checks of levels, links, deadlines and connections, in milliseconds. */
 const kTickMs = 100;
-/** The same while no call is under way: waking up is half of what an idle daemon costs. */
+/** The same interval while no call is in flight, in milliseconds; longer, to reduce the cost of an idle daemon. */
 const kIdleTickMs = 200;
-/**
- * How often what was learned of chains is compared with the record of this host, in milliseconds. Daemons that started together do
- * so together, and their records are read at once.
- */
-const kLearnedMs = 10_000;
-/** How often the totals are logged, in milliseconds: a few lines a minute. */
-const kTotalsMs = 10_000;
-/** Targets that one line about those without calls names at most. */
-const kNamedTargets = 5;
-/** Daemons that one which reads nothing itself tells of a new version. */
-const kSpread = 4;
-/** Connections to a target until its service's limit is known. */
-const kAssumedConnections = 100;
+/** Interval between comparisons of the learned call chains with the record of this host, in milliseconds. */
+const kLearnedCheckMs = 10_000;
+/** Interval between log lines with totals, in milliseconds. */
+const kTotalsIntervalMs = 10_000;
+/** Maximum number of targets listed in the log line about excluded targets. */
+const kMaxLoggedTargets = 5;
+/** Number of daemons that each daemon notifies of a new version. */
+const kVersionFanout = 4;
+/** Connection limit of a target until the configuration provides one. */
+const kDefaultMaxConnections = 100;
 
 const kNoHosts: ReadonlySet<string> = new Set();
 
-/** One routing daemon. */
+/** Routing daemon of one host. */
 export class MeshDaemon {
   private readonly _directory = new TargetDirectory();
   private readonly _sync = new RecordSync(this._directory);
@@ -106,8 +100,8 @@
     this._metricsServer = new HostServer(async (req) => serveSuspects(req, this._suspects) ?? (await this._serveMetrics()));
     this._configs = new ConfigHolder((cfg) => {
       this._calls.configure(cfg);
-      this._workspaces.inForce(cfg);
-      this._spreadVersion(cfg.version);
+      this._workspaces.configApplied(cfg);
+      this._announceVersion(cfg.version);
     }, _events);
     this._follower = new LogFollower(this._followerDeps());
     this._workspaces = new Workspaces(this._workspacesDeps());
@@ -120,9 +114,9 @@
       },
       onEvent: (event) => {
         logSuspectEvent(_events, event);
-        // Once what is being learned now is all there.
+        // Deferred until the current update of the suspects is complete.
         setImmediate(() => {
-          this._records.tellSuspects();
+          this._records.updateSuspects();
         });
       },
     });
@@ -131,14 +125,14 @@
       names: dialect.headers,
       bound: _settings.retries,
       address: _settings.target.address,
-      maxConnections: (service) => this._configs.maxConnections(service) ?? kAssumedConnections,
+      maxConnections: (service) => this._configs.maxConnections(service) ?? kDefaultMaxConnections,
       targets: (service) => this._directory.ready(service).length,
-      isTrialTarget: (fingerprint, service) =>
+      isProbeTarget: (fingerprint, service) =>
         chooseProbeTarget(fingerprint, this._directory.ready(service), kNoHosts)?.host === _settings.id,
       chargeMs: (route) => this._placement.chargeMs(route),
-      keyHolds: (workspace) => this._workspaces.keyHolds(workspace),
+      isKeyValid: (workspace) => this._workspaces.isKeyValid(workspace),
       onChange: () => {
-        this._records.tell();
+        this._records.updateOwn();
       },
       chains: this._chains,
       suspects: this._suspects,
@@ -151,49 +145,49 @@
     this._announcements = new HostServer((req) => this._serveAnnouncement(req));
   }
 
-  /** Whether callers should be sent here. */
+  /** Whether this daemon reports itself ready to callers. */
   get ready(): boolean {
-    return this._configs.config !== undefined && this._records.recalled && !this._stopping;
+    return this._configs.config !== undefined && this._records.recovered && !this._stopping;
   }
 
-  /** The record of this host as other daemons should know it. */
+  /** Record of this host as published to other daemons. */
   get record(): TargetRecord {
     return this._records.own;
   }
 
-  /** Other daemons that a link is open to. */
+  /** Number of other daemons with an open link. */
   get reachable(): number {
     return this._network.reachable;
   }
 
-  /** Whether a record of a host is known. */
+  /** Whether this daemon has a record of a host. */
   knows(host: string): boolean {
     return this._directory.get(host) !== undefined;
   }
 
-  /** Listens, and begins to learn. */
+  /** Opens all listeners, and starts to read the log and to connect to other daemons. */
   async start(): Promise<void> {
     const { listen } = this._settings;
     try {
       await this._listen();
     } catch (err) {
-      // What listens already would keep the process alive, and callers waiting for answers.
+      // Listeners that are already open would keep the process alive, and would leave callers waiting.
       this.close();
       throw err;
     }
     this._platform.configs.onConfig((cfg) => {
-      this._configs.take(cfg, 'log');
+      this._configs.apply(cfg, 'log');
     });
     this._records.start();
     this._follower.start();
-    this._tickLater(kTickMs);
+    this._scheduleTick(kTickMs);
     this._learnedTimer = setInterval(() => {
-      this._records.tellLearned();
+      this._records.updateLearned();
       this._suspects.prune();
-    }, kLearnedMs);
+    }, kLearnedCheckMs);
     this._totalsTimer = setInterval(() => {
       void this._logTotals();
-    }, kTotalsMs);
+    }, kTotalsIntervalMs);
     this._events.notable('start', 'Listening.', { ...listen, zone: this._settings.zone, service: this._settings.target.service });
   }
 
@@ -212,29 +206,29 @@
     }
   }
 
-  /** Planned stop: resolves once callers have turned away and nothing is in flight, or time is up. */
+  /** Shuts down gracefully; resolves once no call is in flight, or the shutdown time is over. */
   async stop(): Promise<void> {
     if (this._stopping) {
       return;
     }
     this._stopping = true;
     const startedAt = monotonicMs();
-    this._events.notable('stop', 'A planned stop begins.', { calls: this._calls.inFlight, atGate: this._gate.pending });
+    this._events.notable('stop', 'Graceful shutdown started.', { calls: this._calls.inFlight, atGate: this._gate.pending });
     const latest = startedAt + this._settings.stopSeconds * 1_000 - kStopMarginMs;
-    // The target goes on meanwhile: closing its gate at once would leave its slots empty while callers turn away.
-    await pause(kTurnAwayMs);
-    const goodbye = this._gate.view.state === 'gone' ? this._platform.records.erase(this._settings.id) : undefined;
+    // The gate stays open meanwhile, because closing it at once would leave the target idle until callers switch to other daemons.
+    await pause(kDrainNoticeMs);
+    const erased = this._gate.advertisedState.state === 'gone' ? this._platform.records.erase(this._settings.id) : undefined;
     this._gate.stop();
-    // Runs of the own target may still call out through this daemon, on new connections too.
-    await waitUntil(monotonicMs(), startedAt + kTurnAwayMs * 2, () => this._gate.pending === 0);
+    // Calls that run on the local target may still send requests through this daemon, on new connections too.
+    await waitUntil(monotonicMs(), startedAt + kDrainNoticeMs * 2, () => this._gate.pending === 0);
     this._calls.close();
     await waitUntil(monotonicMs() + kLingerMs, latest, () => this._calls.inFlight + this._gate.pending === 0);
-    await Promise.race([goodbye, pause(kStopCheckMs)]);
+    await Promise.race([erased, pause(kStopPollMs)]);
     await this._network.leave();
     this._events.notable('stop', 'Stopped.', { calls: this._calls.inFlight, atGate: this._gate.pending });
   }
 
-  /** Ends timers and connections. */
+  /** Stops timers and closes connections. */
   close(): void {
     this._records.stop();
     this._follower.stop();
@@ -252,11 +246,11 @@
     this._gate.close();
   }
 
-  private _tickLater(ms: number): void {
+  private _scheduleTick(ms: number): void {
     const startedAt = monotonicMs();
     this._tickTimer = setTimeout(() => {
       this._tick(monotonicMs() - startedAt);
-      this._tickLater(this._calls.inFlight + this._gate.pending > 0 ? kTickMs : kIdleTickMs);
+      this._scheduleTick(this._calls.inFlight + this._gate.pending > 0 ? kTickMs : kIdleTickMs);
     }, ms);
   }
 
@@ -276,9 +270,9 @@
       tables: () => this._configs.tables,
       suspensions: this._suspensions,
       ownProof: () => this._platform.configs.proof,
-      reads: () => this._follower.reads,
+      readsLog: () => this._follower.readsLog,
       readers: () => this._follower.readers,
-      complete: () => this._sync.complete,
+      allHostsKnown: () => this._sync.complete,
       sendTo: (host, message) => {
         this._network.sendTo(host, message);
       },
@@ -302,10 +296,10 @@
       suspects: this._suspects,
       log: this._platform.records,
       follower: () => this._follower,
-      onReadAll: () => {
-        this._sync.hasRead();
+      onFullRead: () => {
+        this._sync.markComplete();
       },
-      onRecalled: () => {
+      onRecovered: () => {
         this._workspaces.quotas.notePredecessor(this._records.sincePredecessorMs);
       },
       broadcast: (record) => {
@@ -337,18 +331,18 @@
     return {
       onCall: (call, done) => this._gate.offer(call, done),
       onRecords: (records) => {
-        this._records.take(records);
+        this._records.receive(records);
       },
       onVersion: (version, link) => {
-        this._configs.hear(version, this._follower.reads, () => {
+        this._configs.versionAvailable(version, this._follower.readsLog, () => {
           link.send({ type: 'config_wanted' });
         });
       },
       onErased: (hosts) => {
-        this._records.erase(hosts);
+        this._records.remove(hosts);
       },
       onLogged: (epoch, revision) => {
-        this._follower.ownLogged(epoch, revision);
+        this._follower.ownRecordLogged(epoch, revision);
       },
       onDigests: (digests, link) => {
         this._sync.compare(digests, link);
@@ -357,7 +351,7 @@
         this._follower.reported(host, well);
       },
       onConfig: (cfg) => {
-        this._configs.take(cfg, 'peer');
+        this._configs.apply(cfg, 'peer');
       },
       onSuspects: (suspects) => {
         this._suspects.mergeFromPeer(suspects);
@@ -367,7 +361,7 @@
         this._directory.presumeGone(host);
       },
       onReach: (host, reached) => {
-        this._hearReach(host, reached);
+        this._setReachable(host, reached);
       },
       hello: () => ({
         type: 'hello',
@@ -379,7 +373,7 @@
       wantsLink: (record) => this._follower.wantsLink(record),
       config: () => this._configs.config,
       onWorkspaceMessage: (message, link) => {
-        this._workspaces.take(message, link);
+        this._workspaces.receive(message, link);
       },
     };
   }
@@ -406,14 +400,14 @@
       unreachable: (service) => this._directory.unreachableCount(service),
       choose: (candidates, excluded, route) => this._placement.choose(candidates, excluded, route),
       offer: (target, call, done) => this._offer(target, call, done),
-      sent: (target, first) => {
+      onOfferSent: (target, first) => {
         this._placement.recordSent(target.host);
-        this._metrics.placed(target.service, this._placeOf(target), !first);
+        this._metrics.placed(target.service, this._localityOf(target), !first);
       },
-      ended: (host, route, end) => {
+      onOfferResult: (host, route, end) => {
         this._placement.recordResult(host, route, end);
       },
-      avoid: (host) => {
+      deprioritize: (host) => {
         this._placement.markUnreachable(host);
       },
     };
@@ -423,7 +417,7 @@
     return target.host === this._settings.id ? this._gate.offer(call, done) : this._network.offer(target, call, done);
   }
 
-  private _placeOf({ host, zone }: TargetRecord): CallPlace {
+  private _localityOf({ host, zone }: TargetRecord): TargetLocality {
     if (host === this._settings.id) {
       return 'own_host';
     }
@@ -441,30 +435,30 @@
     return { status: this.ready ? 200 : 503 };
   }
 
-  /** A target that leaves gets its answer once others know of it, so that the answer binds also after a crash here. */
+  /** Responds to a draining target once its state is durable, or after a timeout, so that the acknowledged state survives a crash. */
   private async _serveAnnouncement({ method, path, body }: HostRequest): Promise<HostReply> {
-    const word = this._platform.dialect.readAnnouncement(method, path, body);
-    if (!word) {
-      this._events.warn('target', 'Got something else than an announcement.', { method, path });
+    const announcement = this._platform.dialect.readAnnouncement(method, path, body);
+    if (!announcement) {
+      this._events.warn('target', 'Rejected a request: expected an announcement.', { method, path });
       return { status: 400 };
     }
-    if (!this._isOwnTarget(word)) {
-      const { service, address } = word.details ?? {};
-      this._events.warn('target', 'Got the announcement of a target that is not this host’s.', {
-        instance: word.instance,
+    if (!this._isLocalTarget(announcement)) {
+      const { service, address } = announcement.details ?? {};
+      this._events.warn('target', 'Rejected an announcement: expected the target of this host.', {
+        instance: announcement.instance,
         service,
         address,
       });
       return { status: 400 };
     }
-    if (this._gate.announce(word) && word.state !== 'ready') {
+    if (this._gate.announce(announcement) && announcement.state !== 'ready') {
       await Promise.race([this._records.published, pause(kAckWaitMs)]);
     }
     return { status: 200, body: '{}' };
   }
 
-  /** Announcements may come from other writers: one of a service that no configuration names, or of another host, is not believed. */
-  private _isOwnTarget({ details }: Announcement): boolean {
+  /** Whether an announcement may be from this host's target: its service is configured, and its address is on this host. */
+  private _isLocalTarget({ details }: Announcement): boolean {
     if (!details) {
       return true;
     }
@@ -479,19 +473,19 @@
       gate: this._gate.state,
       configVersion: this._configs.version,
       logCalls: Object.fromEntries(this._platform.logCalls()),
-      reads: this._follower.reads,
+      reads: this._follower.readsLog,
     });
-    this._logPassedOver();
+    this._logExcludedTargets();
   }
 
-  /** Why a host that is ready gets no calls from here: nothing else tells who holds what against it. */
-  private _logPassedOver(): void {
+  /** Logs the ready targets that receive no calls from this daemon, with their routing statistics. */
+  private _logExcludedTargets(): void {
     const ready = [...this._directory.values()].filter(({ state }) => state === 'ready');
     const targets = this._placement.unchosenTargets(ready);
     if (targets.length > 0) {
-      this._events.notable('calls', 'Targets are ready and get no calls from here.', {
+      this._events.notable('calls', 'Ready targets receive no calls from this daemon.', {
         count: targets.length,
-        targets: targets.slice(0, kNamedTargets),
+        targets: targets.slice(0, kMaxLoggedTargets),
       });
     }
   }
@@ -510,7 +504,7 @@
       inFlight: this._calls.inFlight,
       omittedLines: this._events.omitted,
       logCalls: this._platform.logCalls(),
-      reads: this._follower.reads,
+      readsLog: this._follower.readsLog,
       proofAge: this._workspaces.proofs.ageSeconds,
       suspensions: this._suspensions.count,
       suspects: this._suspects.counts,
@@ -518,17 +512,17 @@
     };
   }
 
-  /** Readers tell their whole zone, others a few: those may be in reach of daemons that no reader reaches. */
-  private _spreadVersion(version: number): void {
-    if (this._follower.reads) {
+  /** Readers notify their whole zone. Every daemon notifies a few others, which may reach daemons that no reader reaches. */
+  private _announceVersion(version: number): void {
+    if (this._follower.readsLog) {
       this._network.sendZone(this._settings.zone, { type: 'version', version });
     }
-    this._network.sendSome(kSpread, { type: 'version', version });
+    this._network.sendSome(kVersionFanout, { type: 'version', version });
   }
 
-  private _hearReach(host: string, reached: boolean): void {
-    this._follower.reached(host, reached);
-    this._workspaces.quotas.reached(host, reached);
+  private _setReachable(host: string, reached: boolean): void {
+    this._follower.setReachable(host, reached);
+    this._workspaces.quotas.setReachable(host, reached);
     if (reached) {
       this._placement.markReachable(host);
     } else {
@@ -537,9 +531,9 @@
   }
 }
 
-/** Waits until a condition holds, from `earliest` on and not beyond `latest`, on the monotonic clock. */
+/** Waits until a condition holds: at least until `earliest`, and at most until `latest`, on the monotonic clock. */
 async function waitUntil(earliest: number, latest: number, holds: () => boolean): Promise<void> {
   while (monotonicMs() < latest && (monotonicMs() < earliest || !holds())) {
-    await pause(kStopCheckMs);
+    await pause(kStopPollMs);
   }
 }
--- a/packages/mesh/src/app/records/hostRecords.ts
+++ b/packages/mesh/src/app/records/hostRecords.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Records of all hosts as this daemon believes them, and its own record as others should know it. */
+/** Maintains the known records of all hosts, and publishes the record of this host. */
 
 import {
   type ChainModel,
@@ -21,12 +21,12 @@
 import type { LogFollower } from '../log/logFollower.js';
 import type { TargetGate } from '../calls/targetGate.js';
 
-/** Longest wait at a start for what others remember of this host's target, in milliseconds. */
-const kRecallMs = 3_000;
-/** Difference of a ratio from which on it is told anew, as a share of it: well above the noise of the fit. */
-const kToldDifference = 0.3;
+/** Maximum time at a start to recover the last known state of this host's target, in milliseconds. */
+const kRecoveryTimeoutMs = 3_000;
+/** Relative change of a call ratio above which it is published again. */
+const kMinRatioChange = 0.3;
 
-/** What the records use of their daemon. */
+/** Daemon services that the records depend on. */
 export interface HostRecordsDeps {
   settings: MeshSettings;
   gate: () => TargetGate;
@@ -36,44 +36,44 @@
   suspects: Suspects;
   log: RecordLog;
   follower: () => LogFollower;
-  /** Called when all records of the log were read. */
-  onReadAll(): void;
-  /** Called once it is known what others knew of this host. */
-  onRecalled(): void;
-  /** Tells linked daemons. */
+  /** Called after a full read of the records in the log. */
+  onFullRead(): void;
+  /** Called once the state of this host has been recovered from the log or another daemon. */
+  onRecovered(): void;
+  /** Sends a record to all linked daemons. */
   broadcast(record: TargetRecord): void;
   events: EventLog;
 }
 
-/** Keeps the records. */
+/** Records of one daemon. */
 export class HostRecords {
   private readonly _startedAt = Date.now();
   private _epoch = this._startedAt;
   private _revision = 0;
-  private _recalled = false;
-  /** Start of this host's previous daemon, on the wall clock; undefined when nobody knows of one. */
+  private _recovered = false;
+  /** Start of this host's previous daemon, on the wall clock; undefined when none is known. */
   private _predecessorAt: number | undefined;
   private _learned: LearnedChains | undefined;
   private _suspects: Suspicion[] = [];
   private _published: Promise<boolean> = Promise.resolve(true);
-  private _recallTimer: NodeJS.Timeout | undefined;
+  private _recoveryTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly _deps: HostRecordsDeps) {}
 
-  /** Whether what others remember of this host's target is known, as far as it can be. */
-  get recalled(): boolean {
-    return this._recalled;
+  /** Whether the recovery of the last known state of this host's target has finished or timed out. */
+  get recovered(): boolean {
+    return this._recovered;
   }
 
-  /** Resolves once the own record is durable, or a newer one took its place. */
+  /** Resolves once the latest publication of this host's record to the log has completed; true when the record is durable. */
   get published(): Promise<boolean> {
     return this._published;
   }
 
-  /** The own record. */
+  /** Record of this host. */
   get own(): TargetRecord {
     const { id, zone, listen, target } = this._deps.settings;
-    const { instance, born, service, state, slots } = this._deps.gate().view;
+    const { instance, born, service, state, slots } = this._deps.gate().advertisedState;
     return {
       host: id,
       zone,
@@ -90,30 +90,31 @@
     };
   }
 
-  /** Begins to take what the log has. */
+  /** Subscribes to the records of the log, and starts the recovery timer. */
   start(): void {
     this._deps.directory.merge(this.own);
     this._deps.log.onChanges((changes, complete) => {
-      this._takeChanges(changes, complete);
+      this._applyChanges(changes, complete);
     });
-    this._recallTimer = setTimeout(() => {
-      this._recall('nobody');
-    }, kRecallMs);
+    this._recoveryTimer = setTimeout(() => {
+      this._finishRecovery('none');
+    }, kRecoveryTimeoutMs);
   }
 
-  /** Ends timers. */
+  /** Stops the recovery timer. */
   stop(): void {
-    clearTimeout(this._recallTimer);
+    clearTimeout(this._recoveryTimer);
   }
 
-  /** Makes the state of the own target known: to linked daemons at once, and in the log. */
-  tell(): void {
+  /** Publishes a new revision of this host's record to linked daemons, and to the log if the target is draining or gone. */
+  updateOwn(): void {
     this._revision++;
     const record = this.own;
-    this._noteTarget(this._deps.directory.get(record.host), record);
+    this._updatePlacement(this._deps.directory.get(record.host), record);
     this._deps.directory.merge(record);
     this._deps.broadcast(record);
-    // Others may have to act on a leaving after this daemon's end, so it is written at once; the zone's reader writes the rest.
+    // Other daemons have to see a draining target after this daemon has stopped too, so that state is written at once; a reader of the
+    // zone writes all others.
     if (record.state === 'draining' || record.state === 'gone') {
       this._published = this._publish(record);
     }
@@ -122,89 +123,89 @@
   private async _publish(record: TargetRecord): Promise<boolean> {
     const durable = await this._deps.log.publish(record);
     if (durable) {
-      this._deps.follower().ownLogged(record.epoch, record.revision);
+      this._deps.follower().ownRecordLogged(record.epoch, record.revision);
     }
     return durable;
   }
 
-  /** Makes known what was learned of the routes that run here, when it differs from what the record says; called now and then. */
-  tellLearned(): void {
+  /** Publishes the call ratios and internal routes learned on this host if they differ from the record; called periodically. */
+  updateLearned(): void {
     const learned = this._deps.chains.learned();
     if (this.own.state === 'ready' && differs(learned, this._learned)) {
       this._learned = learned;
-      this.tell();
+      this.updateOwn();
     }
   }
 
-  /** Makes known which kinds are held back since the target here ended by them, when the record says something else. */
-  tellSuspects(): void {
+  /** Publishes the quarantined request fingerprints that crashed this host's target if they differ from the record. */
+  updateSuspects(): void {
     const { persisted: lasting } = this._deps.suspects;
     const same = lasting.length === this._suspects.length && lasting.every((suspicion, i) => suspicion === this._suspects[i]);
     if (!same) {
       this._suspects = lasting;
-      this.tell();
+      this.updateOwn();
     }
   }
 
-  /** Takes records that another daemon passed on. */
-  take(records: TargetRecord[]): void {
+  /** Applies records from another daemon. */
+  receive(records: TargetRecord[]): void {
     for (const record of records) {
       if (record.host === this._deps.settings.id) {
-        this._takeOwn(record);
-        this._recall('another daemon');
+        this._applyOwn(record);
+        this._finishRecovery('another daemon');
       } else {
-        this._takeOther(record);
+        this._applyOther(record);
       }
     }
   }
 
-  /** Forgets hosts whose records were removed from the log. */
-  erase(hosts: readonly string[]): void {
+  /** Removes hosts whose records were removed from the log. */
+  remove(hosts: readonly string[]): void {
     for (const host of hosts) {
-      this._deps.follower().erased(host, false);
-      this._forget(host);
+      this._deps.follower().recordErased(host, false);
+      this._removeOther(host);
     }
   }
 
-  private _forget(host: string): void {
+  private _removeOther(host: string): void {
     if (host !== this._deps.settings.id) {
       this._deps.directory.remove(host);
     }
   }
 
-  private _takeChanges(changes: RecordChange[], complete: boolean): void {
+  private _applyChanges(changes: RecordChange[], complete: boolean): void {
     if (complete) {
-      this._deps.follower().beginReading();
+      this._deps.follower().beginFullRead();
     }
     for (const change of changes) {
-      this._takeChange(change);
+      this._applyChange(change);
     }
     if (complete) {
-      this._deps.onReadAll();
-      this._recall('the log');
+      this._deps.onFullRead();
+      this._finishRecovery('the log');
     }
   }
 
-  private _takeChange(change: RecordChange): void {
+  private _applyChange(change: RecordChange): void {
     const { settings, follower } = this._deps;
     switch (change.kind) {
       case 'record':
-        follower().inLog(change.record);
+        follower().recordLogged(change.record);
         if (change.record.host === settings.id) {
-          this._takeOwn(change.record);
+          this._applyOwn(change.record);
         } else {
-          this._takeOther(change.record);
+          this._applyOther(change.record);
         }
         return;
       case 'erased':
-        follower().erased(change.host, true);
-        this._forget(change.host);
+        follower().recordErased(change.host, true);
+        this._removeOther(change.host);
     }
   }
 
-  private _takeOther(record: TargetRecord): void {
+  private _applyOther(record: TargetRecord): void {
     const { directory, events, suspects } = this._deps;
-    this._takeLearned(record);
+    this._applyLearned(record);
     if (record.suspects) {
       suspects.mergeFromPeer(record.suspects);
     }
@@ -212,18 +213,18 @@
     if (!directory.merge(record)) {
       return;
     }
-    this._deps.follower().updated(record);
-    this._noteTarget(before, record);
+    this._deps.follower().recordUpdated(record);
+    this._updatePlacement(before, record);
     const replaced = before === undefined || !isSameIncarnation(before, record);
-    // The first records of a start are no changes: one line says how many hosts there are.
+    // The first record of a host is not a change, and is not logged.
     if (before && (replaced || before.state !== record.state)) {
       const { host, state, instance, service } = record;
       events.notable('peers', `The target on ${host} is ${state}.`, { peer: host, state, instance, service });
     }
   }
 
-  /** What was held against a target ends when another one takes its place, and when it is ready again; also for the own host's. */
-  private _noteTarget(before: TargetRecord | undefined, record: TargetRecord): void {
+  /** Resets the routing statistics of a host when its target is replaced, and its penalty when its target is ready again. */
+  private _updatePlacement(before: TargetRecord | undefined, record: TargetRecord): void {
     const { placement } = this._deps;
     if (before && !isSameIncarnation(before, record)) {
       placement.resetHost(record.host);
@@ -232,23 +233,23 @@
     }
   }
 
-  /** What an earlier daemon of this host said still binds, and must not look newer than what this one says. */
-  private _takeOwn(record: TargetRecord): void {
+  /** Restores the state that an earlier daemon of this host published, and raises the epoch above that of its record. */
+  private _applyOwn(record: TargetRecord): void {
     if (record.epoch === this._epoch) {
       return;
     }
     this._predecessorAt = Math.max(this._predecessorAt ?? 0, record.epoch);
-    this._deps.gate().remember(record);
-    this._takeLearned(record);
+    this._deps.gate().restore(record);
+    this._applyLearned(record);
     this._deps.suspects.restore(record.suspects ?? []);
     if (record.epoch > this._epoch) {
       this._epoch = record.epoch + 1;
-      this.tell();
+      this.updateOwn();
     }
   }
 
-  /** What hosts of the same service learned of its routes holds here too, until this daemon has learned by itself. */
-  private _takeLearned({ learned, host, service }: TargetRecord): void {
+  /** Adopts what other hosts of the same service learned about its routes, until this daemon has learned call ratios itself. */
+  private _applyLearned({ learned, host, service }: TargetRecord): void {
     const { chains, settings } = this._deps;
     if (!learned) {
       return;
@@ -268,26 +269,28 @@
     return this._predecessorAt === undefined ? Infinity : this._startedAt - this._predecessorAt;
   }
 
-  private _recall(from: 'the log' | 'another daemon' | 'nobody'): void {
-    if (!this._recalled) {
-      this._recalled = true;
-      clearTimeout(this._recallTimer);
-      this._deps.events.notable('start', `Heard from ${from} what is known of this host.`, { hosts: this._deps.directory.all().length });
-      this._deps.gate().release();
-      if (from !== 'nobody') {
-        this._deps.onRecalled();
+  private _finishRecovery(from: 'the log' | 'another daemon' | 'none'): void {
+    if (!this._recovered) {
+      this._recovered = true;
+      clearTimeout(this._recoveryTimer);
+      this._deps.events.notable('start', `Finished the recovery of this host's state (source: ${from}).`, {
+        hosts: this._deps.directory.all().length,
+      });
+      this._deps.gate().endRecovery();
+      if (from !== 'none') {
+        this._deps.onRecovered();
       }
     }
   }
 }
 
-/** Whether the newer knowledge says something else; what is missing in it was only not seen yet. */
+/** Whether learned call ratios or internal routes differ; routes missing in `newer` have only not been seen yet. */
 function differs(newer: LearnedChains, older: LearnedChains | undefined): boolean {
   const calls = Object.entries(newer.calls).some(([route, ratios]) => {
     const known = older?.calls[route];
     const names = Object.keys({ ...ratios, ...known });
     return (
-      known === undefined || names.some((name) => Math.abs((ratios[name] ?? 0) - (known[name] ?? 0)) > kToldDifference * (known[name] ?? 0))
+      known === undefined || names.some((name) => Math.abs((ratios[name] ?? 0) - (known[name] ?? 0)) > kMinRatioChange * (known[name] ?? 0))
     );
   });
   return calls || Object.entries(newer.inner).some(([route, inner]) => older?.inner[route] !== inner);
--- a/packages/mesh/src/app/workspaces/proofKeeper.ts
+++ b/packages/mesh/src/app/workspaces/proofTracker.ts
@@ -3,47 +3,47 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Keeps the proof of how fresh this daemon's configuration is: from its own reads of the log, and from other daemons. */
+/** Maintains the proof that this daemon's configuration is fresh, from its own reads of the log and from other daemons. */
 
 import { Freshness, monotonicMs, type ProofReply, type SuspensionDetector, type VersionProof } from '@gentiandrum/core';
 import type { RevocationSettings } from '@gentiandrum/protocol';
 import type { PeerMessage } from '../../client/peerMessages.js';
 import type { EventLog } from '../eventLog.js';
 
-/** Daemons of any zone that are asked at once while the proof is old. */
-const kAskedAtOnce = 3;
-/** First numbers of requests are drawn below this. */
-const kFirstIds = 2 ** 31;
+/** Number of daemons of any zone that receive a request at the same time while the proof is old. */
+const kParallelRequests = 3;
+/** Upper bound of the random first request id. */
+const kMaxFirstId = 2 ** 31;
 
-/** What the keeper uses of its daemon. */
-export interface ProofKeeperDeps {
+/** Daemon services that the proof tracker depends on. */
+export interface ProofTrackerDeps {
   settings: RevocationSettings;
-  /** What the own reads of the log prove. */
+  /** Proof from this daemon's own reads of the log. */
   ownProof(): VersionProof | undefined;
   /** Version of the configuration in force. */
   version(): number;
-  /** Whether the configuration in force asks requests for keys. */
-  needed(): boolean;
+  /** Whether the configuration in force requires keys. */
+  keysRequired(): boolean;
   /** Whether this daemon follows the log. */
-  reads(): boolean;
+  readsLog(): boolean;
   /** Daemons that follow the log for this zone. */
   readers(): readonly string[];
   sendTo(host: string, message: PeerMessage): void;
-  /** Sends to some linked daemons, drawn anew each time. */
+  /** Sends to `count` linked daemons, chosen at random for each message. */
   sendSome(count: number, message: PeerMessage): void;
   suspensions: SuspensionDetector;
   events: EventLog;
 }
 
-/** Keeper of one daemon. */
-export class ProofKeeper {
+/** Freshness proof of one daemon. */
+export class ProofTracker {
   private readonly _freshness: Freshness;
-  private _turn = 0;
+  private _nextReader = 0;
   private _stale = false;
   private _suspensions: number;
 
-  constructor(private readonly _deps: ProofKeeperDeps) {
-    this._freshness = new Freshness(_deps.settings, Math.floor(Math.random() * kFirstIds));
+  constructor(private readonly _deps: ProofTrackerDeps) {
+    this._freshness = new Freshness(_deps.settings, Math.floor(Math.random() * kMaxFirstId));
     this._suspensions = _deps.suspensions.count;
   }
 
@@ -53,84 +53,86 @@
     return ageMs === Infinity ? -1 : ageMs / 1_000;
   }
 
-  /** Until when requests with keys may be let in, on the monotonic clock. */
+  /** Time until which requests with keys may be admitted, on the monotonic clock. */
   validUntil(): number {
-    this._noteOwn();
+    this._applyOwnProof();
     return this._freshness.validUntil;
   }
 
-  /** Whether the host was suspended, and nothing has proved the configuration fresh since. */
-  get waking(): boolean {
-    this._noteOwn();
+  /** Whether the host was suspended and no proof has arrived since. */
+  get awaitsProof(): boolean {
+    this._applyOwnProof();
     return this._freshness.awaitingProof;
   }
 
-  /** A version came into force. */
-  inForce(version: number): void {
+  /** Records that a version came into force. */
+  configApplied(version: number): void {
     this._freshness.versionApplied(version);
   }
 
-  /** Asks for a newer proof when it is due; called a few times a second. */
+  /** Requests a newer proof when needed; called several times per second. */
   check(): void {
     const deps = this._deps;
-    if (!deps.needed()) {
+    if (!deps.keysRequired()) {
       return;
     }
-    this._noteOwn();
+    this._applyOwnProof();
     const now = monotonicMs();
-    this._noteStale(now);
+    this._logStaleness(now);
     const known = deps.readers();
-    const whom = this._freshness.nextRequestScope(now, deps.reads());
-    if (whom === 'none') {
+    const recipients = this._freshness.nextRequestScope(now, deps.readsLog());
+    if (recipients === 'none') {
       return;
     }
     const message = { type: 'proof_wanted', id: this._freshness.startRequest(now) } as const;
-    const reader = known[this._turn++ % Math.max(1, known.length)];
-    if (whom === 'readers' && reader !== undefined) {
+    const reader = known[this._nextReader++ % Math.max(1, known.length)];
+    if (recipients === 'readers' && reader !== undefined) {
       deps.sendTo(reader, message);
     } else {
-      deps.sendSome(kAskedAtOnce, message);
+      deps.sendSome(kParallelRequests, message);
     }
   }
 
-  /** Answers another daemon; nothing when there is no proof. */
+  /** Response to the request of another daemon; undefined when there is no proof. */
   replyTo(id: number): PeerMessage | undefined {
-    this._noteOwn();
+    this._applyOwnProof();
     const reply = this._freshness.createReply(id, monotonicMs());
     return reply && { type: 'proof', ...reply };
   }
 
-  /** Takes the answer of another daemon. */
-  take(reply: ProofReply): void {
-    this._noteSuspension();
+  /** Applies the response of another daemon. */
+  receive(reply: ProofReply): void {
+    this._checkSuspension();
     this._freshness.addReply(reply, this._deps.version());
   }
 
-  /** Before anything that relies on a proof: a request may be the first thing that the process sees on waking up. */
-  private _noteSuspension(): void {
+  /** Invalidates the proof after a suspension. Runs before each use, because a request may be the first event after a resume. */
+  private _checkSuspension(): void {
     const { suspensions, events } = this._deps;
     const { count } = suspensions;
     if (count !== this._suspensions) {
       this._suspensions = count;
       this._freshness.suspended(monotonicMs());
-      events.notable('workspaces', 'The host was suspended: keys need a new proof.', { ms: Math.round(suspensions.lastDurationMs) });
+      events.notable('workspaces', 'The host was suspended: requests with keys need a new freshness proof.', {
+        ms: Math.round(suspensions.lastDurationMs),
+      });
     }
   }
 
-  private _noteOwn(): void {
-    this._noteSuspension();
+  private _applyOwnProof(): void {
+    this._checkSuspension();
     const proof = this._deps.ownProof();
     if (proof) {
       this._freshness.addProof(proof, this._deps.version());
     }
   }
 
-  private _noteStale(now: number): void {
+  private _logStaleness(now: number): void {
     const stale = this._freshness.validUntil <= now;
     if (stale !== this._stale) {
       this._stale = stale;
       const ageMs = Math.round(this._freshness.ageMs(now));
-      const text = stale ? 'The configuration may be old: requests with keys are refused.' : 'The configuration is known to be fresh.';
+      const text = stale ? 'The configuration may be outdated: refusing requests with keys.' : 'The configuration is proven fresh.';
       this._deps.events.notable('workspaces', text, { ageMs, version: this._deps.version() });
     }
   }
--- a/tests/mesh/callExchange.spec.ts
+++ b/tests/mesh/callExchange.spec.ts
@@ -4,7 +4,7 @@
  */
 
 import { type CallResult, ChainModel, type GateReport, type TargetRecord } from '@gentiandrum/core';
-import { CallExchange, Deadlines, type ExchangeDeps, type ExchangeEnd, type RoutedRequest } from '@gentiandrum/mesh';
+import { CallExchange, Deadlines, type ExchangeDeps, type ExchangeResult, type RoutedRequest } from '@gentiandrum/mesh';
 import type { Route } from '@gentiandrum/protocol';
 import { describe, it } from '../support/describe.js';
 
@@ -26,9 +26,9 @@
   return { host, zone: 'z1', peers: '', service: 'reads', instance: `i-${host}`, state: 'ready', slots: 16, epoch: 1, revision: 1 };
 }
 
-function run(ends: CallResult[]): { exchange: CallExchange; end: ExchangeEnd | undefined } {
+function run(ends: CallResult[]): { exchange: CallExchange; end: ExchangeResult | undefined } {
   const targets = ends.map((_, i) => target(`h${i + 1}`));
-  const result: { end: ExchangeEnd | undefined } = { end: undefined };
+  const result: { end: ExchangeResult | undefined } = { end: undefined };
   let next = 0;
   const deps: ExchangeDeps = {
     candidates: () => targets,
@@ -41,9 +41,9 @@
     suspects: { assess: () => undefined, msSinceUpdate: () => 0 },
     unreachable: () => 0,
     deadlines: new Deadlines(),
-    sent: () => undefined,
-    ended: () => undefined,
-    avoid: () => undefined,
+    onOfferSent: () => undefined,
+    onOfferResult: () => undefined,
+    deprioritize: () => undefined,
   };
   const req: RoutedRequest = {
     route: kRoute,
@@ -66,7 +66,7 @@
 }
 
 describe('an exchange', () => {
-  it('should tell of each offer without success where it went, how it ended, and how full the gate was', (t) => {
+  it('should report the host, the result and the gate load of each unsuccessful offer', (t) => {
     const { exchange, end } = run([
       { kind: 'not_run', reason: 'overloaded', retryAfterMs: 50 },
       { kind: 'answered', answer: { status: 500, headers: [], body: Buffer.alloc(0) } },
@@ -82,7 +82,7 @@
     );
   });
 
-  it('should keep nothing of one that went well at once', (t) => {
+  it('should report no failed offers when the first one succeeds', (t) => {
     const { exchange } = run([{ kind: 'answered', answer: { status: 200, headers: [], body: Buffer.alloc(0) } }]);
     t.deepEqual(exchange.failed, []);
   });
