--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -23,7 +23,7 @@
 import type { Platform } from '../ports.js';
 import { CallServer, type CallServerDeps } from '../server/callServer.js';
 import { serveSuspects } from '../server/suspectControl.js';
-import { HostServer, type HostReply, type HostRequest } from '../server/hostServer.js';
+import { HostServer, type HostResponse, type HostRequest } from '../server/hostServer.js';
 import { splitAddress } from './addresses.js';
 import { ConfigHolder } from './log/configHolder.js';
 import { Deadlines } from './calls/deadlines.js';
@@ -430,11 +430,11 @@
     return zone === this._settings.zone ? 'own_zone' : 'other_zone';
   }
 
-  private async _serveMetrics(): Promise<HostReply> {
+  private async _serveMetrics(): Promise<HostResponse> {
     return { status: 200, contentType: 'text/plain; version=0.0.4', body: await this._metrics.text() };
   }
 
-  private _serveReady(req: HostRequest): HostReply {
+  private _serveReady(req: HostRequest): HostResponse {
     if (req.path !== this._platform.dialect.readyPath) {
       return { status: 404 };
     }
@@ -442,7 +442,7 @@
   }
 
   /** A target that leaves gets its answer once others know of it, so that the answer binds also after a crash here. */
-  private async _serveAnnouncement({ method, path, body }: HostRequest): Promise<HostReply> {
+  private async _serveAnnouncement({ method, path, body }: HostRequest): Promise<HostResponse> {
     const word = this._platform.dialect.readAnnouncement(method, path, body);
     if (!word) {
       this._events.warn('target', 'Got something else than an announcement.', { method, path });
--- a/packages/mesh/src/server/bodyMemory.ts
+++ b/packages/mesh/src/server/bodyMemory.ts
@@ -5,22 +5,22 @@
 
 /** Bounds the bytes that bodies of requests under way may take in this process. */
 export class BodyMemory {
-  private _held = 0;
+  private _reservedBytes = 0;
 
-  /** @param _most in bytes */
-  constructor(private readonly _most: number) {}
+  /** @param _maxBytes in bytes */
+  constructor(private readonly _maxBytes: number) {}
 
   /** Takes room for so many bytes; false, and nothing taken, when there is none left. */
-  take(bytes: number): boolean {
-    if (this._held > this._most) {
+  reserve(bytes: number): boolean {
+    if (this._reservedBytes > this._maxBytes) {
       return false;
     }
-    this._held += bytes;
+    this._reservedBytes += bytes;
     return true;
   }
 
   /** Gives room back. */
   release(bytes: number): void {
-    this._held -= bytes;
+    this._reservedBytes -= bytes;
   }
 }
--- a/packages/mesh/src/server/callServer.ts
+++ b/packages/mesh/src/server/callServer.ts
@@ -20,17 +20,17 @@
 import { CallerConnection, type CallerLimits, type CallerRequest, type ConnectionOwner, type ReadFault } from './callerConnection.js';
 import { type RefusedEntry, refusalFields, refusalOf, refusedService, refusedWorkspace } from './entryRefusals.js';
 import { outcomeOf } from './exchangeOutcome.js';
-import { statusOf, textOf } from './readFaults.js';
+import { faultStatus, faultDetail } from './readFaults.js';
 
 /** Limits until a configuration is known. */
-const kFirstLimits: CallerLimits = {
+const kInitialLimits: CallerLimits = {
   headerBytes: 65_536,
   bodyBytes: Number.MAX_SAFE_INTEGER,
   headerTimeoutMs: 5_000,
   idleTimeoutMs: 60_000,
 };
 /** Time after which a caller may come back when nothing better is known, in milliseconds. */
-const kRetryAfterMs = 200;
+const kDefaultRetryAfterMs = 200;
 /** Retry-After is spread over this factor, so that callers don't return together. */
 const kRetrySpread = 1.0;
 /** Share of the process's memory that bodies of requests under way may take. */
@@ -56,7 +56,7 @@
   readonly memory: BodyMemory;
   private readonly _server: Server;
   private readonly _connections = new Set<CallerConnection>();
-  private _limits = kFirstLimits;
+  private _limits = kInitialLimits;
   private _inFlight = 0;
 
   constructor(private readonly _deps: CallServerDeps) {
@@ -115,11 +115,11 @@
   onRequest(req: CallerRequest): void {
     this._inFlight++;
     const { host, credentials } = req.headers;
-    const entering = this._deps.entry.enter({ host, path: req.target, presented: readCredentials(credentials) }, (end) => {
-      this._entered(req, end);
+    const entering = this._deps.entry.enter({ host, path: req.target, presented: readCredentials(credentials) }, (result) => {
+      this._handleEntry(req, result);
     });
-    if (!req.begun) {
-      req.onLeave = () => {
+    if (!req.entryDecided) {
+      req.onDisconnect = () => {
         this._inFlight--;
         entering.leave();
       };
@@ -129,7 +129,7 @@
   /** @internal */
   onFault(req: CallerRequest, fault: ReadFault): void {
     this._inFlight++;
-    this._refuse(req, statusOf(fault), textOf(fault), kRetryAfterMs);
+    this._refuse(req, faultStatus(fault), faultDetail(fault), kDefaultRetryAfterMs);
   }
 
   /** @internal */
@@ -137,24 +137,24 @@
     this._connections.delete(connection);
   }
 
-  private _entered(req: CallerRequest, end: EntryResult): void {
-    req.begun = true;
-    if (end.kind === 'admitted') {
-      this._deps.chains.recordEntry(end.route.name);
-      this._exchange(req, end);
+  private _handleEntry(req: CallerRequest, result: EntryResult): void {
+    req.entryDecided = true;
+    if (result.kind === 'admitted') {
+      this._deps.chains.recordEntry(result.route.name);
+      this._startExchange(req, result);
     } else {
-      this._refuseEntry(req, end);
+      this._refuseEntry(req, result);
     }
   }
 
-  private _refuseEntry(req: CallerRequest, end: RefusedEntry): void {
-    const { status, detail, outcome, retryAfterMs, headers, logText, ordinary } = refusalOf(end);
-    this._deps.metrics.requestEnded(refusedService(end), outcome, end.kind === 'shed' ? 'level' : 'none', 0);
-    const workspace = refusedWorkspace(end);
+  private _refuseEntry(req: CallerRequest, result: RefusedEntry): void {
+    const { status, detail, outcome, retryAfterMs, headers, logText, ordinary } = refusalOf(result);
+    this._deps.metrics.requestEnded(refusedService(result), outcome, result.kind === 'shed' ? 'level' : 'none', 0);
+    const workspace = refusedWorkspace(result);
     if (workspace !== undefined) {
       this._deps.metrics.workspaceEnded(workspace, outcome);
     }
-    const fields = (): EventFields => ({ req: req.headers.requestId, ...refusalFields(end) });
+    const fields = (): EventFields => ({ req: req.headers.requestId, ...refusalFields(result) });
     if (logText !== undefined && ordinary === true) {
       this._deps.events.ordinary('calls', logText, fields);
     } else if (logText !== undefined) {
@@ -163,7 +163,7 @@
     this._refuse(req, status, detail, retryAfterMs, headers);
   }
 
-  private _exchange(req: CallerRequest, { route, service, rank, workspace }: Extract<EntryResult, { kind: 'admitted' }>): void {
+  private _startExchange(req: CallerRequest, { route, service, rank, workspace }: Extract<EntryResult, { kind: 'admitted' }>): void {
     const { requestId, remainingMs } = req.headers;
     const exchange = new CallExchange(
       {
@@ -173,55 +173,55 @@
         requestId,
         method: req.method,
         path: req.target,
-        headers: this._passedOn(req),
+        headers: this._forwardedHeaders(req),
         body: req.body,
         rank,
         workspace,
-        deadline: req.takenAt + Math.min(route.timeoutMs, remainingMs),
+        deadline: req.receivedAt + Math.min(route.timeoutMs, remainingMs),
       },
       this._deps,
-      (end) => {
-        const { outcome, reason } = outcomeOf(end);
+      (result) => {
+        const { outcome, reason } = outcomeOf(result);
         this._deps.metrics.requestEnded(service, outcome, reason, exchange.ageMs / 1_000);
-        this._logEnd(exchange, route.name, end, requestId);
-        this._noteWorkspace(workspace, end, outcome);
-        this._end(req, end);
+        this._logResult(exchange, route.name, result, requestId);
+        this._recordWorkspaceOutcome(workspace, result, outcome);
+        this._respond(req, result);
       },
     );
-    req.onLeave = () => {
+    req.onDisconnect = () => {
       this._inFlight--;
       exchange.abandon();
     };
     exchange.start();
   }
 
-  private _noteWorkspace(workspace: RequestWorkspace | undefined, end: ExchangeEnd, outcome: RequestOutcome): void {
+  private _recordWorkspaceOutcome(workspace: RequestWorkspace | undefined, result: ExchangeEnd, outcome: RequestOutcome): void {
     if (workspace) {
       this._deps.metrics.workspaceEnded(workspace.name, outcome);
     }
-    if (end.kind === 'not_run') {
+    if (result.kind === 'not_run') {
       this._deps.entry.notRun(workspace);
     }
   }
 
   /** Keys stay where requests enter; without workspaces the header is one like any other. */
-  private _passedOn({ headers: { kept, credentials } }: CallerRequest): string[] {
+  private _forwardedHeaders({ headers: { kept, credentials } }: CallerRequest): string[] {
     if (credentials.length === 0 || this._deps.keysRequired()) {
       return kept;
     }
     return [...kept, ...credentials.flatMap((value) => [kCredentialsHeader, value])];
   }
 
-  private _end(req: CallerRequest, end: ExchangeEnd): void {
-    switch (end.kind) {
+  private _respond(req: CallerRequest, result: ExchangeEnd): void {
+    switch (result.kind) {
       case 'answered':
-        this._send(req, end.answer.status, this._withId(end.answer.headers, req.headers.requestId), end.answer.body);
+        this._send(req, result.answer.status, this._withRequestId(result.answer.headers, req.headers.requestId), result.answer.body);
         return;
       case 'not_run':
-        this._refuse(req, 503, `not run: ${end.reason}`, Math.max(kRetryAfterMs, end.retryAfterMs));
+        this._refuse(req, 503, `not run: ${result.reason}`, Math.max(kDefaultRetryAfterMs, result.retryAfterMs));
         return;
       case 'lost':
-        this._refuse(req, 502, `may have run: ${end.reason}`);
+        this._refuse(req, 502, `may have run: ${result.reason}`);
         return;
       case 'timed_out':
         this._refuse(req, 504, 'no answer in time');
@@ -229,11 +229,11 @@
     }
   }
 
-  private _withId(headers: string[], requestId: string): string[] {
+  private _withRequestId(headers: string[], requestId: string): string[] {
     return requestId === '' ? headers : [...headers, this._deps.names.requestId, requestId];
   }
 
-  private _logEnd(exchange: CallExchange, route: string, end: ExchangeEnd, requestId: string): void {
+  private _logResult(exchange: CallExchange, route: string, result: ExchangeEnd, requestId: string): void {
     const fields = (): EventFields => ({
       req: requestId,
       route,
@@ -242,20 +242,20 @@
       ms: Math.round(exchange.ageMs),
       ...(exchange.failed.length > 0 ? { failed: exchange.failed } : {}),
     });
-    if (end.kind === 'answered') {
-      const { status } = end.answer;
+    if (result.kind === 'answered') {
+      const { status } = result.answer;
       if (status < 500) {
         this._deps.events.ordinary('calls', 'Answered.', () => ({ ...fields(), status }));
       } else {
         this._deps.events.notable('calls', 'The target failed.', { ...fields(), status });
       }
     } else {
-      this._deps.events.notable('calls', 'No answer of a target.', { ...fields(), ...end });
+      this._deps.events.notable('calls', 'No answer of a target.', { ...fields(), ...result });
     }
   }
 
-  private _refuse(req: CallerRequest, status: number, detail: string, retryAfterMs?: number, more: readonly string[] = []): void {
-    const headers = ['content-type', 'application/problem+json', ...more];
+  private _refuse(req: CallerRequest, status: number, detail: string, retryAfterMs?: number, extraHeaders: readonly string[] = []): void {
+    const headers = ['content-type', 'application/problem+json', ...extraHeaders];
     if (retryAfterMs !== undefined) {
       headers.push('retry-after', ((retryAfterMs * (1 + Math.random() * kRetrySpread)) / 1_000).toFixed(3));
     }
@@ -264,6 +264,6 @@
 
   private _send(req: CallerRequest, status: number, headers: string[], body: Buffer): void {
     this._inFlight--;
-    req.answer(status, headers, body);
+    req.respond(status, headers, body);
   }
 }
--- a/packages/mesh/src/server/callerConnection.ts
+++ b/packages/mesh/src/server/callerConnection.ts
@@ -18,13 +18,13 @@
 /** Requests of one connection that may be under way at once; more wait until some are answered. */
 const kMaxPipelined = 32;
 /** Longest wait for a body that doesn't come, in milliseconds, when the caller names no time. */
-const kBodyMs = 30_000;
+const kMaxBodyWaitMs = 30_000;
 /** Time for which bytes of the caller are read on and dropped after the last answer, in milliseconds: unread ones would reset it. */
 const kLingerMs = 1_000;
 /** Grace beyond the idle limit that callers know, in milliseconds, so that a request that crosses the close is rare. */
 const kIdleGraceMs = 1_000;
 
-const kContinue = 'HTTP/1.1 100 Continue\r\n\r\n';
+const kContinueResponse = 'HTTP/1.1 100 Continue\r\n\r\n';
 const kNoBody = Buffer.alloc(0);
 
 /** Limits of the configuration on what callers send. */
@@ -58,15 +58,15 @@
 export class CallerRequest {
   body: Buffer = kNoBody;
   /** When its head was read, on the monotonic clock: from then on its caller waits, also while the body comes. */
-  readonly takenAt = monotonicMs();
+  readonly receivedAt = monotonicMs();
   /** Called when the caller leaves before its answer. */
-  onLeave: (() => void) | undefined;
+  onDisconnect: (() => void) | undefined;
   /** Bytes of its body that count as held. */
-  heldBytes = 0;
+  reservedBytes = 0;
   /** The answer, once there is one. */
-  answered: Buffer[] | undefined;
+  response: Buffer[] | undefined;
   /** Whether it was decided whether it is let in. */
-  begun = false;
+  entryDecided = false;
   /** Whether nothing more can be read of the connection behind this request. */
   isLast = false;
 
@@ -78,8 +78,8 @@
   ) {}
 
   /** Gives the final answer; further ones, and those to a caller that left, are dropped. */
-  answer(status: number, headers: string[], body: Buffer): void {
-    this._connection.answer(this, status, headers, body);
+  respond(status: number, headers: string[], body: Buffer): void {
+    this._connection.respond(this, status, headers, body);
   }
 }
 
@@ -89,14 +89,14 @@
   /** Requests without an answer on the wire, the oldest first. */
   private readonly _pending: CallerRequest[] = [];
   /** Requests that were read and not begun, the oldest first. */
-  private readonly _read: CallerRequest[] = [];
-  private _begun = 0;
+  private readonly _readRequests: CallerRequest[] = [];
+  private _startedCount = 0;
   /** The request whose body is being read. */
   private _reading: CallerRequest | undefined;
   private _parts: Buffer[] = [];
   private _bodyTimer: NodeJS.Timeout | undefined;
-  private _quietSince = monotonicMs();
-  private _headSince: number | undefined;
+  private _idleSince = monotonicMs();
+  private _headStartedAt: number | undefined;
   /** Nothing more is read: the connection ends with the last pending answer, and what still comes is dropped. */
   private _ending = false;
   private _closed = false;
@@ -107,29 +107,29 @@
   ) {
     this._parser = new MessageParser('request', {
       onHead: (head) => {
-        this._takeHead(head);
+        this._handleHead(head);
       },
       onBody: (part) => {
-        this._takeBody(part);
+        this._handleBody(part);
       },
       onEnd: () => {
-        this._takeEnd();
+        this._handleMessageEnd();
       },
     });
     _socket.on('data', (bytes: Buffer) => {
-      this._take(bytes);
+      this._handleData(bytes);
     });
     _socket.on('end', () => {
-      this._leave();
+      this._handleDisconnect();
     });
     _socket.on('error', () => {
       // The reason does not matter: `close` follows, and the caller is gone.
     });
     _socket.on('close', () => {
-      this._close();
+      this._handleClose();
     });
     _socket.on('drain', () => {
-      this._begin();
+      this._startRequests();
     });
   }
 
@@ -142,35 +142,35 @@
   check(now: number): void {
     const { headerTimeoutMs, idleTimeoutMs } = this._owner.limits;
     if (this._ending) {
-      if (this._pending.length === 0 && now - this._quietSince > kLingerMs) {
+      if (this._pending.length === 0 && now - this._idleSince > kLingerMs) {
         this._socket.destroy();
       }
-    } else if (this._headSince !== undefined && now - this._headSince > headerTimeoutMs) {
-      this._fail('head_too_late');
-    } else if (this._pending.length === 0 && !this._reading && now - this._quietSince > idleTimeoutMs + kIdleGraceMs) {
-      this._end();
+    } else if (this._headStartedAt !== undefined && now - this._headStartedAt > headerTimeoutMs) {
+      this._failConnection('head_too_late');
+    } else if (this._pending.length === 0 && !this._reading && now - this._idleSince > idleTimeoutMs + kIdleGraceMs) {
+      this._endConnection();
     }
   }
 
   /** Ends the connection now if it is idle, else with its last answer. */
   stop(): void {
     if (this._pending.length === 0 && !this._reading && !this._ending) {
-      this._end();
+      this._endConnection();
     }
   }
 
-  /** Takes the answer to a request; see {@link CallerRequest.answer}. */
-  answer(req: CallerRequest, status: number, headers: string[], body: Buffer): void {
-    if (req.answered || this._closed) {
+  /** Takes the answer to a request; see {@link CallerRequest.respond}. */
+  respond(req: CallerRequest, status: number, headers: string[], body: Buffer): void {
+    if (req.response || this._closed) {
       return;
     }
-    req.onLeave = undefined;
-    this._release(req);
+    req.onDisconnect = undefined;
+    this._releaseBody(req);
     const last = this._isLast(req);
     const all = last ? [...headers, 'connection', 'close'] : headers;
-    req.answered = answerBytes(status, all, body, req.method === 'HEAD');
+    req.response = answerBytes(status, all, body, req.method === 'HEAD');
     req.isLast = last;
-    this._writeAnswers();
+    this._writeResponses();
   }
 
   /** Only behind the last request that was read is the connection closed: those behind a close count as not read. */
@@ -178,56 +178,56 @@
     return this._pending.at(-1) === req && (req.isLast || this._ending || this._owner.closing);
   }
 
-  private _writeAnswers(): void {
-    while (this._pending[0]?.answered) {
+  private _writeResponses(): void {
+    while (this._pending[0]?.response) {
       const req = this._pending.shift();
-      this._begun--;
-      writeParts(this._socket, req?.answered ?? []);
+      this._startedCount--;
+      writeParts(this._socket, req?.response ?? []);
       if (req?.isLast) {
-        this._end();
+        this._endConnection();
       }
     }
-    this._quietSince = monotonicMs();
-    if (this._read.length > 0 || this._socket.isPaused()) {
-      this._begin();
+    this._idleSince = monotonicMs();
+    if (this._readRequests.length > 0 || this._socket.isPaused()) {
+      this._startRequests();
     }
   }
 
-  private _end(): void {
+  private _endConnection(): void {
     this._ending = true;
-    this._quietSince = monotonicMs();
+    this._idleSince = monotonicMs();
     this._socket.end();
     this._socket.resume();
   }
 
-  private _take(bytes: Buffer): void {
+  private _handleData(bytes: Buffer): void {
     if (this._ending || this._closed) {
       return;
     }
     this._parser.maxHeadBytes = this._owner.limits.headerBytes;
     const fault = this._parser.push(bytes);
-    this._noteProgress();
-    this._begin();
+    this._updateTimeouts();
+    this._startRequests();
     if (fault) {
-      this._fail(fault);
+      this._failConnection(fault);
     }
   }
 
   /** Time limits run for what has begun and not ended. */
-  private _noteProgress(): void {
+  private _updateTimeouts(): void {
     const reading = this._reading;
     if (reading && !this._ending) {
       this._bodyTimer ??= setTimeout(
         () => {
-          this._fault(reading, 'body_too_late');
+          this._rejectRequest(reading, 'body_too_late');
         },
-        Math.min(kBodyMs, reading.headers.remainingMs),
+        Math.min(kMaxBodyWaitMs, reading.headers.remainingMs),
       );
     }
     if (this._parser.inMessage && !reading) {
-      this._headSince ??= monotonicMs();
+      this._headStartedAt ??= monotonicMs();
     } else {
-      this._headSince = undefined;
+      this._headStartedAt = undefined;
     }
   }
 
@@ -235,15 +235,15 @@
    * Begins what was read, as far as there is room: once all bytes are parsed, as what a request causes must not meet a parser at
    * work. Nothing more is read while requests wait, or a caller doesn't read.
    */
-  private _begin(): void {
-    while (this._read.length > 0 && this._begun < kMaxPipelined && !this._socket.writableNeedDrain) {
-      const req = this._read.shift();
+  private _startRequests(): void {
+    while (this._readRequests.length > 0 && this._startedCount < kMaxPipelined && !this._socket.writableNeedDrain) {
+      const req = this._readRequests.shift();
       if (req) {
-        this._begun++;
+        this._startedCount++;
         this._owner.onRequest(req);
       }
     }
-    const full = this._read.length > 0 || this._begun >= kMaxPipelined || this._socket.writableNeedDrain;
+    const full = this._readRequests.length > 0 || this._startedCount >= kMaxPipelined || this._socket.writableNeedDrain;
     if (full && !this._closed) {
       this._socket.pause();
     } else if (this._socket.isPaused()) {
@@ -251,7 +251,7 @@
     }
   }
 
-  private _takeHead({ method, target, headers: raw, keepAlive }: MessageHead): void {
+  private _handleHead({ method, target, headers: raw, keepAlive }: MessageHead): void {
     if (this._ending) {
       return;
     }
@@ -261,29 +261,29 @@
     this._pending.push(req);
     this._reading = req;
     if (headers.bodyBytes > this._owner.limits.bodyBytes) {
-      this._fault(req, 'body_too_long');
+      this._rejectRequest(req, 'body_too_long');
     } else if (headers.expectsContinue && this._pending.length === 1) {
-      this._socket.write(kContinue);
+      this._socket.write(kContinueResponse);
     }
   }
 
-  private _takeBody(part: Buffer): void {
+  private _handleBody(part: Buffer): void {
     const req = this._reading;
     if (!req || this._ending) {
       return;
     }
-    if (!this._owner.memory.take(part.length)) {
-      this._fault(req, 'no_memory');
+    if (!this._owner.memory.reserve(part.length)) {
+      this._rejectRequest(req, 'no_memory');
       return;
     }
-    req.heldBytes += part.length;
+    req.reservedBytes += part.length;
     this._parts.push(part);
-    if (req.heldBytes > this._owner.limits.bodyBytes) {
-      this._fault(req, 'body_too_long');
+    if (req.reservedBytes > this._owner.limits.bodyBytes) {
+      this._rejectRequest(req, 'body_too_long');
     }
   }
 
-  private _takeEnd(): void {
+  private _handleMessageEnd(): void {
     const req = this._reading;
     this._reading = undefined;
     this._stopBodyTimer();
@@ -293,7 +293,7 @@
     const [only] = this._parts;
     req.body = this._parts.length === 1 && only ? only : Buffer.concat(this._parts);
     this._parts = [];
-    this._read.push(req);
+    this._readRequests.push(req);
     this._ending = req.isLast;
   }
 
@@ -303,52 +303,52 @@
   }
 
   /** Answers a request that is not read to its end; the connection ends behind it. */
-  private _fault(req: CallerRequest, fault: ReadFault): void {
+  private _rejectRequest(req: CallerRequest, fault: ReadFault): void {
     this._stopBodyTimer();
     this._parts = [];
     this._ending = true;
-    this._begun++;
+    this._startedCount++;
     this._owner.onFault(req, fault);
   }
 
   /** Bytes came that are no request, or none came in time. */
-  private _fail(fault: ReadFault): void {
+  private _failConnection(fault: ReadFault): void {
     if (this._ending || this._closed) {
       return;
     }
-    this._fault(this._reading ?? this._unread(), fault);
+    this._rejectRequest(this._reading ?? this._addUnparsedRequest(), fault);
   }
 
-  private _unread(): CallerRequest {
+  private _addUnparsedRequest(): CallerRequest {
     const req = new CallerRequest(this, '', '', this._owner.headers.readRequest([]));
     req.isLast = true;
     this._pending.push(req);
     return req;
   }
 
-  private _release(req: CallerRequest): void {
-    this._owner.memory.release(req.heldBytes);
-    req.heldBytes = 0;
+  private _releaseBody(req: CallerRequest): void {
+    this._owner.memory.release(req.reservedBytes);
+    req.reservedBytes = 0;
   }
 
   /** The caller is gone, or will read nothing more. */
-  private _leave(): void {
+  private _handleDisconnect(): void {
     this._stopBodyTimer();
     this._parts = [];
-    this._read.length = 0;
+    this._readRequests.length = 0;
     for (const req of this._pending) {
-      this._release(req);
-      req.onLeave?.();
-      req.onLeave = undefined;
+      this._releaseBody(req);
+      req.onDisconnect?.();
+      req.onDisconnect = undefined;
     }
   }
 
-  private _close(): void {
+  private _handleClose(): void {
     if (this._closed) {
       return;
     }
     this._closed = true;
-    this._leave();
+    this._handleDisconnect();
     this._parser.close();
     this._owner.onClose(this);
   }
--- a/packages/mesh/src/server/entryRefusals.ts
+++ b/packages/mesh/src/server/entryRefusals.ts
@@ -27,26 +27,26 @@
 }
 
 /** Time after which a caller may come back when nothing better is known, in milliseconds. */
-const kRetryAfterMs = 200;
+const kDefaultRetryAfterMs = 200;
 /** Time after which a daemon with an old configuration may know better, in milliseconds. */
 const kStaleRetryMs = 500;
-const kChallenge = ['www-authenticate', 'Bearer'];
+const kBearerChallenge = ['www-authenticate', 'Bearer'];
 
 /** How a refusal is told to the caller, the log and the metrics. */
-export function refusalOf(end: RefusedEntry): EntryRefusal {
-  switch (end.kind) {
+export function refusalOf(result: RefusedEntry): EntryRefusal {
+  switch (result.kind) {
     case 'no_configuration':
-      return { status: 503, detail: 'not run: no configuration is known yet', outcome: end.kind, retryAfterMs: kRetryAfterMs };
+      return { status: 503, detail: 'not run: no configuration is known yet', outcome: result.kind, retryAfterMs: kDefaultRetryAfterMs };
     case 'no_route':
-      return { status: 404, detail: 'no route matches', outcome: end.kind };
+      return { status: 404, detail: 'no route matches', outcome: result.kind };
     case 'no_key':
-      return { status: 401, detail: 'expected the key of a workspace, got none', outcome: end.kind, headers: kChallenge };
+      return { status: 401, detail: 'expected the key of a workspace, got none', outcome: result.kind, headers: kBearerChallenge };
     case 'unknown_key':
       return {
         status: 401,
         detail: 'expected the key of a workspace, got one that no workspace has',
-        outcome: end.kind,
-        headers: kChallenge,
+        outcome: result.kind,
+        headers: kBearerChallenge,
         logText: 'The key is not known.',
         ordinary: true,
       };
@@ -54,7 +54,7 @@
       return {
         status: 503,
         detail: 'not run: it is not known whether the key still holds',
-        outcome: end.kind,
+        outcome: result.kind,
         retryAfterMs: kStaleRetryMs,
         logText: 'The configuration is too old to rely on keys.',
       };
@@ -62,8 +62,8 @@
       return {
         status: 429,
         detail: 'not run: the workspace is over its quota',
-        outcome: end.kind,
-        retryAfterMs: end.retryAfterMs,
+        outcome: result.kind,
+        retryAfterMs: result.retryAfterMs,
         logText: 'The workspace is over its quota.',
         ordinary: true,
       };
@@ -71,48 +71,48 @@
       return {
         status: 503,
         detail: 'not run: the quota of the workspace could not be checked',
-        outcome: end.kind,
-        retryAfterMs: end.retryAfterMs,
+        outcome: result.kind,
+        retryAfterMs: result.retryAfterMs,
         logText: 'The owners of the quota could not be asked.',
       };
     case 'shed':
       return {
         status: 503,
         detail: 'not run: overloaded',
-        outcome: end.kind,
-        retryAfterMs: end.retryAfterMs,
+        outcome: result.kind,
+        retryAfterMs: result.retryAfterMs,
         logText: 'Turned away where it entered: there is too much work on its chain.',
       };
   }
 }
 
 /** What a log line says of a refusal beyond its text; of a key only enough to tell two apart. */
-export function refusalFields(end: RefusedEntry): EventFields {
-  switch (end.kind) {
+export function refusalFields(result: RefusedEntry): EventFields {
+  switch (result.kind) {
     case 'no_configuration':
     case 'no_route':
       return {};
     case 'no_key':
     case 'stale_configuration':
-      return { route: end.route.name };
+      return { route: result.route.name };
     case 'unknown_key':
-      return { route: end.route.name, ...(end.key === undefined ? {} : { key: loggedKeyHash(end.key) }) };
+      return { route: result.route.name, ...(result.key === undefined ? {} : { key: loggedKeyHash(result.key) }) };
     case 'over_quota':
     case 'quota_unknown':
-      return { route: end.route.name, workspace: end.workspace, retryAfterMs: Math.round(end.retryAfterMs) };
+      return { route: result.route.name, workspace: result.workspace, retryAfterMs: Math.round(result.retryAfterMs) };
     case 'shed':
-      return { route: end.route.name, workspace: refusedWorkspace(end) };
+      return { route: result.route.name, workspace: refusedWorkspace(result) };
   }
 }
 
 /** Workspace whose request was refused; undefined when it has none, or that is not known. */
-export function refusedWorkspace(end: RefusedEntry): string | undefined {
-  switch (end.kind) {
+export function refusedWorkspace(result: RefusedEntry): string | undefined {
+  switch (result.kind) {
     case 'over_quota':
     case 'quota_unknown':
-      return end.workspace;
+      return result.workspace;
     case 'shed':
-      return end.workspace?.name;
+      return result.workspace?.name;
     case 'no_configuration':
     case 'no_route':
     case 'no_key':
@@ -123,6 +123,6 @@
 }
 
 /** Service that a refusal counts for. */
-export function refusedService(end: RefusedEntry): string {
-  return 'route' in end ? (end.route.destinations[0]?.service ?? 'none') : 'none';
+export function refusedService(result: RefusedEntry): string {
+  return 'route' in result ? (result.route.destinations[0]?.service ?? 'none') : 'none';
 }
--- a/packages/mesh/src/server/exchangeOutcome.ts
+++ b/packages/mesh/src/server/exchangeOutcome.ts
@@ -9,14 +9,14 @@
 import type { RequestOutcome } from '../app/latencyMetric.js';
 
 /** Outcome and reason as metrics count them; what follows a colon in a reason tells of the single case. */
-export function outcomeOf(end: ExchangeEnd): { outcome: RequestOutcome; reason: string } {
-  switch (end.kind) {
+export function outcomeOf(result: ExchangeEnd): { outcome: RequestOutcome; reason: string } {
+  switch (result.kind) {
     case 'answered':
-      return { outcome: end.answer.status < 500 ? 'answered' : 'target_failed', reason: 'none' };
+      return { outcome: result.answer.status < 500 ? 'answered' : 'target_failed', reason: 'none' };
     case 'not_run':
-      return { outcome: 'not_run', reason: end.reason };
+      return { outcome: 'not_run', reason: result.reason };
     case 'lost':
-      return { outcome: 'lost', reason: end.reason.split(':')[0] ?? '' };
+      return { outcome: 'lost', reason: result.reason.split(':')[0] ?? '' };
     case 'timed_out':
       return { outcome: 'timed_out', reason: 'none' };
   }
--- a/packages/mesh/src/server/hostServer.ts
+++ b/packages/mesh/src/server/hostServer.ts
@@ -11,7 +11,7 @@
 /** Longest body that is read, in bytes; announcements are a few hundred. */
 const kMaxBodyBytes = 65_536;
 /** Time for which idle connections are kept, in milliseconds; above any period of checks and announcements seen. */
-const kIdleMs = 30_000;
+const kKeepAliveMs = 30_000;
 
 /** A request, read whole. */
 export interface HostRequest {
@@ -21,7 +21,7 @@
 }
 
 /** Answer to one. */
-export interface HostReply {
+export interface HostResponse {
   status: number;
   contentType?: string;
   body?: string;
@@ -31,8 +31,8 @@
 export class HostServer {
   private readonly _server: Server;
 
-  constructor(serve: (req: HostRequest) => HostReply | Promise<HostReply>) {
-    this._server = createServer({ keepAliveTimeout: kIdleMs }, (req, res) => {
+  constructor(serve: (req: HostRequest) => HostResponse | Promise<HostResponse>) {
+    this._server = createServer({ keepAliveTimeout: kKeepAliveMs }, (req, res) => {
       const chunks: Buffer[] = [];
       let bytes = 0;
       req.on('data', (chunk: Buffer) => {
--- a/packages/mesh/src/server/readFaults.ts
+++ b/packages/mesh/src/server/readFaults.ts
@@ -8,7 +8,7 @@
 import type { ReadFault } from './callerConnection.js';
 
 /** Status of the answer to a request that can't be read. */
-export function statusOf(fault: ReadFault): number {
+export function faultStatus(fault: ReadFault): number {
   switch (fault) {
     case 'malformed':
       return 400;
@@ -25,7 +25,7 @@
 }
 
 /** Text of that answer. */
-export function textOf(fault: ReadFault): string {
+export function faultDetail(fault: ReadFault): string {
   switch (fault) {
     case 'malformed':
       return 'expected an HTTP/1.1 request, got something else';
--- a/packages/mesh/src/server/suspectControl.ts
+++ b/packages/mesh/src/server/suspectControl.ts
@@ -6,13 +6,13 @@
 /** What operators ask of suspected kinds of requests: the list, and to let one run again. */
 
 import type { Suspects } from '@gentiandrum/core';
-import type { HostReply, HostRequest } from './hostServer.js';
+import type { HostResponse, HostRequest } from './hostServer.js';
 
 const kListPath = '/-/suspects';
 const kReleasePath = /^\/-\/suspects\/([^/]+)\/release$/;
 
 /** Answers a request of an operator; undefined when it is about something else. */
-export function serveSuspects({ method, path }: HostRequest, suspects: Suspects): HostReply | undefined {
+export function serveSuspects({ method, path }: HostRequest, suspects: Suspects): HostResponse | undefined {
   if (method === 'GET' && path === kListPath) {
     return { status: 200, body: JSON.stringify({ suspects: suspects.list() }) };
   }
