--- a/packages/mesh/src/server/bodyMemory.ts
+++ b/packages/mesh/src/server/bodyMemory.ts
@@ -3,14 +3,13 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Bounds the bytes that bodies of requests under way may take in this process. */
+/** Limits the memory for the bodies of requests in flight. */
 export class BodyMemory {
   private _reservedBytes = 0;
 
-  /** @param _maxBytes in bytes */
   constructor(private readonly _maxBytes: number) {}
 
-  /** Takes room for so many bytes; false, and nothing taken, when there is none left. */
+  /** Reserves memory; returns false, and reserves nothing, once more than the limit is reserved. */
   reserve(bytes: number): boolean {
     if (this._reservedBytes > this._maxBytes) {
       return false;
@@ -19,7 +18,6 @@
     return true;
   }
 
-  /** Gives room back. */
   release(bytes: number): void {
     this._reservedBytes -= bytes;
   }
--- a/packages/mesh/src/server/callServer.ts
+++ b/packages/mesh/src/server/callServer.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Takes callers' requests over HTTP/1.1, whole, and gives each its final answer. */
+/** HTTP/1.1 server for the callers on this host: admits each request, forwards it to a target, and sends the final response. */
 
 import { createServer, type Server } from 'node:net';
 import { type EntryResult, monotonicMs, readCredentials, type RequestWorkspace } from '@gentiandrum/core';
@@ -22,35 +22,33 @@
 import { outcomeOf } from './exchangeOutcome.js';
 import { faultStatus, faultDetail } from './readFaults.js';
 
-/** Limits until a configuration is known. */
+/** Limits until the first configuration is received. */
 const kInitialLimits: CallerLimits = {
   headerBytes: 65_536,
   bodyBytes: Number.MAX_SAFE_INTEGER,
   headerTimeoutMs: 5_000,
   idleTimeoutMs: 60_000,
 };
-/** Time after which a caller may come back when nothing better is known, in milliseconds. */
+/** Retry-After value when no better one is known, in milliseconds. */
 const kDefaultRetryAfterMs = 200;
-/** Retry-After is spread over this factor, so that callers don't return together. */
+/** Largest random increase of Retry-After, as a factor; spreads the retries of callers. */
 const kRetrySpread = 1.0;
-/** Share of the process's memory that bodies of requests under way may take. */
+/** Share of the process's memory for the bodies of requests in flight. */
 const kBodyMemoryShare = 0.3;
 const kBytesPerMb = 2 ** 20;
 
-/** What the server uses of its daemon. */
 export interface CallServerDeps extends ExchangeDeps {
   names: HeaderNames;
   service: string;
   memoryMb: number;
   entry: RequestEntry;
-  /** Whether requests need keys, which then stay here. */
+  /** Whether requests need keys. If so, keys are not forwarded to targets. */
   keysRequired(): boolean;
   stopping(): boolean;
   metrics: MeshMetrics;
   events: EventLog;
 }
 
-/** Server for the callers on this host. */
 export class CallServer implements ConnectionOwner {
   readonly headers: HeaderReader;
   readonly memory: BodyMemory;
@@ -67,7 +65,7 @@
     });
   }
 
-  /** Requests that have no answer yet, and connections whose callers have not read theirs. */
+  /** Number of requests without a response, plus connections with unsent response data. */
   get inFlight(): number {
     let unread = 0;
     for (const connection of this._connections) {
@@ -76,12 +74,11 @@
     return this._inFlight + unread;
   }
 
-  /** Limits on what callers send. */
   get limits(): CallerLimits {
     return this._limits;
   }
 
-  /** Whether connections end with their next answer. */
+  /** Whether connections close after their next response. */
   get closing(): boolean {
     return this._deps.stopping();
   }
@@ -90,12 +87,12 @@
     await listenOn(this._server, address);
   }
 
-  /** Follows the limits of a configuration. */
+  /** Applies the limits of a configuration. */
   configure({ limits }: MeshConfig): void {
     this._limits = limits;
   }
 
-  /** Takes no new connections, and ends those that are idle. */
+  /** Stops accepting connections, and closes idle ones. */
   close(): void {
     this._server.close();
     for (const connection of this._connections) {
@@ -103,7 +100,7 @@
     }
   }
 
-  /** Looks at the time limits of connections; called a few times a second. */
+  /** Enforces the timeouts of connections; called a few times a second. */
   check(): void {
     const now = monotonicMs();
     for (const connection of this._connections) {
@@ -111,7 +108,7 @@
     }
   }
 
-  /** @internal Called by connections, as are the next ones. */
+  /** @internal Called by connections, as are the next two methods. */
   onRequest(req: CallerRequest): void {
     this._inFlight++;
     const { host, credentials } = req.headers;
@@ -204,7 +201,7 @@
     }
   }
 
-  /** Keys stay where requests enter; without workspaces the header is one like any other. */
+  /** Removes the key header if keys are required; otherwise forwards it like any other header. */
   private _forwardedHeaders({ headers: { kept, credentials } }: CallerRequest): string[] {
     if (credentials.length === 0 || this._deps.keysRequired()) {
       return kept;
@@ -224,7 +221,7 @@
         this._refuse(req, 502, `may have run: ${result.reason}`);
         return;
       case 'timed_out':
-        this._refuse(req, 504, 'no answer in time');
+        this._refuse(req, 504, 'no response before the deadline');
         return;
     }
   }
@@ -245,12 +242,12 @@
     if (result.kind === 'answered') {
       const { status } = result.answer;
       if (status < 500) {
-        this._deps.events.ordinary('calls', 'Answered.', () => ({ ...fields(), status }));
+        this._deps.events.ordinary('calls', 'Request completed.', () => ({ ...fields(), status }));
       } else {
-        this._deps.events.notable('calls', 'The target failed.', { ...fields(), status });
+        this._deps.events.notable('calls', 'Target responded with a server error.', { ...fields(), status });
       }
     } else {
-      this._deps.events.notable('calls', 'No answer of a target.', { ...fields(), ...result });
+      this._deps.events.notable('calls', 'Request failed without a response from a target.', { ...fields(), ...result });
     }
   }
 
--- a/packages/mesh/src/server/callerConnection.ts
+++ b/packages/mesh/src/server/callerConnection.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * One connection of a caller: reads requests whole, writes their answers in the order of the requests, and tells each request
- * that its caller has left.
+ * A connection of a caller: reads complete requests, writes the responses in request order, and notifies pending requests when the
+ * caller disconnects.
  */
 
 import type { Socket } from 'node:net';
@@ -15,41 +15,41 @@
 import { answerBytes, writeParts } from '../http/messageText.js';
 import type { BodyMemory } from './bodyMemory.js';
 
-/** Requests of one connection that may be under way at once; more wait until some are answered. */
+/** Largest number of requests of one connection that are in flight at once; further ones wait. */
 const kMaxPipelined = 32;
-/** Longest wait for a body that doesn't come, in milliseconds, when the caller names no time. */
+/** Longest time for reading a body, in milliseconds; shorter if the caller's deadline is earlier. */
 const kMaxBodyWaitMs = 30_000;
-/** Time for which bytes of the caller are read on and dropped after the last answer, in milliseconds: unread ones would reset it. */
+/** Time for discarding received bytes after the last response, in milliseconds: closing a socket with unread bytes resets it. */
 const kLingerMs = 1_000;
-/** Grace beyond the idle limit that callers know, in milliseconds, so that a request that crosses the close is rare. */
+/** Additional time beyond the configured idle timeout, in milliseconds: makes requests that race with the close rare. */
 const kIdleGraceMs = 1_000;
 
 const kContinueResponse = 'HTTP/1.1 100 Continue\r\n\r\n';
 const kNoBody = Buffer.alloc(0);
 
-/** Limits of the configuration on what callers send. */
+/** Configured limits for callers. */
 export interface CallerLimits {
   headerBytes: number;
   bodyBytes: number;
-  /** Time for a head, in milliseconds. */
+  /** Longest time for reading a request head, in milliseconds. */
   headerTimeoutMs: number;
   /** Time for which an idle connection is kept, in milliseconds. */
   idleTimeoutMs: number;
 }
 
-/** Why a request is answered before it was read. */
+/** Reason for rejecting a request before it was read completely. */
 export type ReadFault = ParseFault | 'head_too_late' | 'body_too_long' | 'body_too_late' | 'no_memory';
 
-/** What a connection uses of its server. */
+/** Server that owns the connection. */
 export interface ConnectionOwner {
   readonly headers: HeaderReader;
   readonly memory: BodyMemory;
   readonly limits: CallerLimits;
-  /** Whether connections end with their next answer. */
+  /** Whether connections close after their next response. */
   readonly closing: boolean;
-  /** A request that was read whole. */
+  /** A request was read completely. */
   onRequest(req: CallerRequest): void;
-  /** A request that can't be read; its answer ends the connection. */
+  /** A request cannot be read; the connection closes after its response. */
   onFault(req: CallerRequest, fault: ReadFault): void;
   onClose(connection: CallerConnection): void;
 }
@@ -57,17 +57,17 @@
 /** One request of a caller. */
 export class CallerRequest {
   body: Buffer = kNoBody;
-  /** When its head was read, on the monotonic clock: from then on its caller waits, also while the body comes. */
+  /** Time at which the head was read, on the monotonic clock; the time for reading the body counts against the deadline. */
   readonly receivedAt = monotonicMs();
-  /** Called when the caller leaves before its answer. */
+  /** Called when the caller disconnects before the response. */
   onDisconnect: (() => void) | undefined;
-  /** Bytes of its body that count as held. */
+  /** Bytes reserved for its body in {@link BodyMemory}. */
   reservedBytes = 0;
-  /** The answer, once there is one. */
+  /** Encoded response, once there is one. */
   response: Buffer[] | undefined;
-  /** Whether it was decided whether it is let in. */
+  /** Whether the request has been admitted or refused. */
   entryDecided = false;
-  /** Whether nothing more can be read of the connection behind this request. */
+  /** Whether the connection closes after this request. */
   isLast = false;
 
   constructor(
@@ -77,18 +77,17 @@
     readonly headers: RequestHeaders,
   ) {}
 
-  /** Gives the final answer; further ones, and those to a caller that left, are dropped. */
+  /** Sends the final response. Ignored after the first one and once the connection is closed. */
   respond(status: number, headers: string[], body: Buffer): void {
     this._connection.respond(this, status, headers, body);
   }
 }
 
-/** One connection. */
 export class CallerConnection {
   private readonly _parser: MessageParser;
-  /** Requests without an answer on the wire, the oldest first. */
+  /** Requests whose responses have not been written, the oldest first. */
   private readonly _pending: CallerRequest[] = [];
-  /** Requests that were read and not begun, the oldest first. */
+  /** Complete requests that have not been started, the oldest first. */
   private readonly _readRequests: CallerRequest[] = [];
   private _startedCount = 0;
   /** The request whose body is being read. */
@@ -97,7 +96,7 @@
   private _bodyTimer: NodeJS.Timeout | undefined;
   private _idleSince = monotonicMs();
   private _headStartedAt: number | undefined;
-  /** Nothing more is read: the connection ends with the last pending answer, and what still comes is dropped. */
+  /** The connection closes after the last pending response, and received bytes are discarded. */
   private _ending = false;
   private _closed = false;
 
@@ -123,7 +122,7 @@
       this._handleDisconnect();
     });
     _socket.on('error', () => {
-      // The reason does not matter: `close` follows, and the caller is gone.
+      // A `close` event follows and ends the pending requests.
     });
     _socket.on('close', () => {
       this._handleClose();
@@ -133,12 +132,12 @@
     });
   }
 
-  /** Whether answers wait for the caller to read. */
+  /** Whether response data has not been sent yet. */
   get writing(): boolean {
     return this._socket.writableLength > 0;
   }
 
-  /** Looks at the connection's time limits; called a few times a second. */
+  /** Enforces the connection's timeouts; called a few times a second. */
   check(now: number): void {
     const { headerTimeoutMs, idleTimeoutMs } = this._owner.limits;
     if (this._ending) {
@@ -152,14 +151,14 @@
     }
   }
 
-  /** Ends the connection now if it is idle, else with its last answer. */
+  /** Closes the connection if it is idle; otherwise it closes after its last response. */
   stop(): void {
     if (this._pending.length === 0 && !this._reading && !this._ending) {
       this._endConnection();
     }
   }
 
-  /** Takes the answer to a request; see {@link CallerRequest.respond}. */
+  /** Sends the response to a request; see {@link CallerRequest.respond}. */
   respond(req: CallerRequest, status: number, headers: string[], body: Buffer): void {
     if (req.response || this._closed) {
       return;
@@ -173,7 +172,7 @@
     this._writeResponses();
   }
 
-  /** Only behind the last request that was read is the connection closed: those behind a close count as not read. */
+  /** Only the response to the last request that was read may announce the close: callers consider later requests unprocessed. */
   private _isLast(req: CallerRequest): boolean {
     return this._pending.at(-1) === req && (req.isLast || this._ending || this._owner.closing);
   }
@@ -213,7 +212,7 @@
     }
   }
 
-  /** Time limits run for what has begun and not ended. */
+  /** Starts and stops the timeouts for the head and the body that are being read. */
   private _updateTimeouts(): void {
     const reading = this._reading;
     if (reading && !this._ending) {
@@ -232,8 +231,8 @@
   }
 
   /**
-   * Begins what was read, as far as there is room: once all bytes are parsed, as what a request causes must not meet a parser at
-   * work. Nothing more is read while requests wait, or a caller doesn't read.
+   * Starts complete requests up to the pipelining limit. Called only after the parser has returned, because a request may close the
+   * connection and its parser. Pauses reading while requests wait or the caller does not read its responses.
    */
   private _startRequests(): void {
     while (this._readRequests.length > 0 && this._startedCount < kMaxPipelined && !this._socket.writableNeedDrain) {
@@ -302,7 +301,7 @@
     this._bodyTimer = undefined;
   }
 
-  /** Answers a request that is not read to its end; the connection ends behind it. */
+  /** Rejects a request that was not read completely; the connection closes after the response. */
   private _rejectRequest(req: CallerRequest, fault: ReadFault): void {
     this._stopBodyTimer();
     this._parts = [];
@@ -311,7 +310,7 @@
     this._owner.onFault(req, fault);
   }
 
-  /** Bytes came that are no request, or none came in time. */
+  /** Rejects the current request, or an unparsed one, after malformed input or a timeout. */
   private _failConnection(fault: ReadFault): void {
     if (this._ending || this._closed) {
       return;
@@ -331,7 +330,7 @@
     req.reservedBytes = 0;
   }
 
-  /** The caller is gone, or will read nothing more. */
+  /** The caller has closed its end of the connection. */
   private _handleDisconnect(): void {
     this._stopBodyTimer();
     this._parts = [];
--- a/packages/mesh/src/server/entryRefusals.ts
+++ b/packages/mesh/src/server/entryRefusals.ts
@@ -3,60 +3,60 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What callers, logs and metrics are told of a request that was refused where it entered: one table for all outcomes. */
+/** Responses, log lines and metric outcomes for requests that are refused at entry. */
 
 import { type EntryResult, loggedKeyHash } from '@gentiandrum/core';
 import type { EventFields } from '../app/eventLog.js';
 import type { RequestOutcome } from '../app/latencyMetric.js';
 
-/** A request that was refused where it entered. */
+/** Result of a request that was refused at entry. */
 export type RefusedEntry = Exclude<EntryResult, { kind: 'admitted' }>;
 
-/** How a refusal is told. */
+/** How a refusal is reported. */
 export interface EntryRefusal {
   status: number;
   detail: string;
   outcome: RequestOutcome;
-  /** Time after which the caller may come back, in milliseconds; undefined when that is of no use. */
+  /** Retry-After value, in milliseconds; undefined when a retry is useless. */
   retryAfterMs?: number;
   headers?: string[];
-  /** Text of the log line; none for what callers send wrongly in numbers. */
+  /** Text of the log line; undefined for frequent mistakes of callers, which are not logged. */
   logText?: string;
-  /** Whether the line takes from the budget of ordinary ones: what single callers cause must not displace failures. */
+  /** Whether the line counts against the budget of ordinary lines, so that a single caller cannot displace failures. */
   ordinary?: boolean;
 }
 
-/** Time after which a caller may come back when nothing better is known, in milliseconds. */
+/** Retry-After value when no better one is known, in milliseconds. */
 const kDefaultRetryAfterMs = 200;
-/** Time after which a daemon with an old configuration may know better, in milliseconds. */
+/** Retry-After value while the configuration is stale, in milliseconds. */
 const kStaleRetryMs = 500;
 const kBearerChallenge = ['www-authenticate', 'Bearer'];
 
-/** How a refusal is told to the caller, the log and the metrics. */
+/** Returns how a refusal is reported to the caller, the log and the metrics. */
 export function refusalOf(result: RefusedEntry): EntryRefusal {
   switch (result.kind) {
     case 'no_configuration':
-      return { status: 503, detail: 'not run: no configuration is known yet', outcome: result.kind, retryAfterMs: kDefaultRetryAfterMs };
+      return { status: 503, detail: 'not run: no configuration received yet', outcome: result.kind, retryAfterMs: kDefaultRetryAfterMs };
     case 'no_route':
-      return { status: 404, detail: 'no route matches', outcome: result.kind };
+      return { status: 404, detail: 'no route matches the request', outcome: result.kind };
     case 'no_key':
-      return { status: 401, detail: 'expected the key of a workspace, got none', outcome: result.kind, headers: kBearerChallenge };
+      return { status: 401, detail: 'expected an API key of a workspace, got none', outcome: result.kind, headers: kBearerChallenge };
     case 'unknown_key':
       return {
         status: 401,
-        detail: 'expected the key of a workspace, got one that no workspace has',
+        detail: 'expected an API key of a workspace, got an unknown key',
         outcome: result.kind,
         headers: kBearerChallenge,
-        logText: 'The key is not known.',
+        logText: 'Request refused: unknown API key.',
         ordinary: true,
       };
     case 'stale_configuration':
       return {
         status: 503,
-        detail: 'not run: it is not known whether the key still holds',
+        detail: 'not run: the configuration is too old to validate the API key',
         outcome: result.kind,
         retryAfterMs: kStaleRetryMs,
-        logText: 'The configuration is too old to rely on keys.',
+        logText: 'Request refused: the configuration is too old to validate API keys.',
       };
     case 'over_quota':
       return {
@@ -64,7 +64,7 @@
         detail: 'not run: the workspace is over its quota',
         outcome: result.kind,
         retryAfterMs: result.retryAfterMs,
-        logText: 'The workspace is over its quota.',
+        logText: 'Request refused: the workspace is over its quota.',
         ordinary: true,
       };
     case 'quota_unknown':
@@ -73,7 +73,7 @@
         detail: 'not run: the quota of the workspace could not be checked',
         outcome: result.kind,
         retryAfterMs: result.retryAfterMs,
-        logText: 'The owners of the quota could not be asked.',
+        logText: 'Request refused: the owners of the workspace quota did not respond.',
       };
     case 'shed':
       return {
@@ -81,12 +81,12 @@
         detail: 'not run: overloaded',
         outcome: result.kind,
         retryAfterMs: result.retryAfterMs,
-        logText: 'Turned away where it entered: there is too much work on its chain.',
+        logText: 'Request shed at entry: its call chain is overloaded.',
       };
   }
 }
 
-/** What a log line says of a refusal beyond its text; of a key only enough to tell two apart. */
+/** Returns the log fields of a refusal. Of a key, only a short hash is logged. */
 export function refusalFields(result: RefusedEntry): EventFields {
   switch (result.kind) {
     case 'no_configuration':
@@ -105,7 +105,7 @@
   }
 }
 
-/** Workspace whose request was refused; undefined when it has none, or that is not known. */
+/** Returns the workspace whose request was refused; undefined when there is none or it is unknown. */
 export function refusedWorkspace(result: RefusedEntry): string | undefined {
   switch (result.kind) {
     case 'over_quota':
@@ -122,7 +122,7 @@
   }
 }
 
-/** Service that a refusal counts for. */
+/** Returns the service to which metrics attribute a refusal. */
 export function refusedService(result: RefusedEntry): string {
   return 'route' in result ? (result.route.destinations[0]?.service ?? 'none') : 'none';
 }
--- a/packages/mesh/src/server/exchangeOutcome.ts
+++ b/packages/mesh/src/server/exchangeOutcome.ts
@@ -3,12 +3,12 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** How the end of an exchange is counted. */
+/** Maps the result of an exchange to the outcome and reason in metrics. */
 
 import type { ExchangeEnd } from '../app/calls/callExchange.js';
 import type { RequestOutcome } from '../app/latencyMetric.js';
 
-/** Outcome and reason as metrics count them; what follows a colon in a reason tells of the single case. */
+/** Returns the outcome and the reason; cuts the detail after a colon from the reason, which bounds the number of label values. */
 export function outcomeOf(result: ExchangeEnd): { outcome: RequestOutcome; reason: string } {
   switch (result.kind) {
     case 'answered':
--- a/packages/mesh/src/server/hostServer.ts
+++ b/packages/mesh/src/server/hostServer.ts
@@ -3,31 +3,29 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Small HTTP servers for the platform and the target on this host: readiness, announcements, metrics. */
+/** HTTP server for the platform and the target on this host: readiness, announcements and metrics. */
 
 import { createServer, type Server } from 'node:http';
 import { listenOn } from '../app/addresses.js';
 
-/** Longest body that is read, in bytes; announcements are a few hundred. */
+/** Longest accepted body, in bytes. */
 const kMaxBodyBytes = 65_536;
-/** Time for which idle connections are kept, in milliseconds; above any period of checks and announcements seen. */
+/** Keep-alive timeout, in milliseconds; longer than the period of readiness checks and announcements. */
 const kKeepAliveMs = 30_000;
 
-/** A request, read whole. */
+/** A complete request. */
 export interface HostRequest {
   method: string;
   path: string;
   body: Buffer;
 }
 
-/** Answer to one. */
 export interface HostResponse {
   status: number;
   contentType?: string;
   body?: string;
 }
 
-/** Serves one address. */
 export class HostServer {
   private readonly _server: Server;
 
--- a/packages/mesh/src/server/readFaults.ts
+++ b/packages/mesh/src/server/readFaults.ts
@@ -3,11 +3,11 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What callers are told of requests that can't be read. */
+/** Responses to requests that cannot be read. */
 
 import type { ReadFault } from './callerConnection.js';
 
-/** Status of the answer to a request that can't be read. */
+/** Returns the HTTP status for a fault. */
 export function faultStatus(fault: ReadFault): number {
   switch (fault) {
     case 'malformed':
@@ -24,20 +24,20 @@
   }
 }
 
-/** Text of that answer. */
+/** Returns the text in the response body for a fault. */
 export function faultDetail(fault: ReadFault): string {
   switch (fault) {
     case 'malformed':
       return 'expected an HTTP/1.1 request, got something else';
     case 'head_too_long':
-      return 'request head over the limit';
+      return 'request head exceeds the limit';
     case 'head_too_late':
-      return 'request head did not arrive in time';
+      return 'timed out reading the request head';
     case 'body_too_late':
-      return 'request body did not arrive in time';
+      return 'timed out reading the request body';
     case 'body_too_long':
-      return 'request body over the limit';
+      return 'request body exceeds the limit';
     case 'no_memory':
-      return 'too many bytes of requests are held';
+      return 'memory limit for request bodies reached';
   }
 }
--- a/packages/mesh/src/server/suspectControl.ts
+++ b/packages/mesh/src/server/suspectControl.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What operators ask of suspected kinds of requests: the list, and to let one run again. */
+/** Operator endpoints for suspected request fingerprints: lists them, and releases one. */
 
 import type { Suspects } from '@gentiandrum/core';
 import type { HostResponse, HostRequest } from './hostServer.js';
@@ -11,7 +11,7 @@
 const kListPath = '/-/suspects';
 const kReleasePath = /^\/-\/suspects\/([^/]+)\/release$/;
 
-/** Answers a request of an operator; undefined when it is about something else. */
+/** Serves a request to these endpoints; returns undefined for any other request. */
 export function serveSuspects({ method, path }: HostRequest, suspects: Suspects): HostResponse | undefined {
   if (method === 'GET' && path === kListPath) {
     return { status: 200, body: JSON.stringify({ suspects: suspects.list() }) };
@@ -21,7 +21,7 @@
     return undefined;
   }
   if (!suspects.release(fingerprint)) {
-    const detail = `Expected a kind that something is held against, got "${fingerprint}".`;
+    const detail = `Expected the fingerprint of a suspected request, got "${fingerprint}".`;
     return { status: 404, body: JSON.stringify({ kind: 'unknown_suspect', detail }) };
   }
   return { status: 200, body: JSON.stringify({ released: fingerprint }) };
