--- a/packages/mesh/src/client/targetClient.ts
+++ b/packages/mesh/src/client/targetClient.ts
@@ -10,7 +10,7 @@
 import { type CallResult, monotonicMs, type ReachabilityEvidence } from '@gentiandrum/core';
 import { Deadlines, type Due } from '../app/calls/deadlines.js';
 import { HeaderReader } from '../http/headerReader.js';
-import { requestBytes } from '../http/messageText.js';
+import { encodeRequest } from '../http/messageText.js';
 import type { HeaderNames } from '../ports.js';
 import type { PeerCall } from './callCodec.js';
 import { CrashDetector } from './crashDetector.js';
@@ -149,7 +149,7 @@
     if (call.workspace) {
       headers.push(names.workspace, call.workspace.name);
     }
-    return requestBytes(call.method, call.path, headers, call.body);
+    return encodeRequest(call.method, call.path, headers, call.body);
   }
 
   private _takeIdle(): TargetConnection | undefined {
@@ -218,7 +218,7 @@
     if (status < 300 && !headers.sealed) {
       return { result: { kind: 'lost', reason: 'success without the seal of the target' }, responded: false };
     }
-    return { result: { kind: 'answered', answer: { status, headers: headers.kept, body } }, responded: true };
+    return { result: { kind: 'answered', answer: { status, headers: headers.forwarded, body } }, responded: true };
   }
 }
 
--- a/packages/mesh/src/client/targetConnection.ts
+++ b/packages/mesh/src/client/targetConnection.ts
@@ -8,7 +8,7 @@
 import { connect, type Socket } from 'node:net';
 import { monotonicMs } from '@gentiandrum/core';
 import { splitAddress } from '../app/addresses.js';
-import type { AnswerHeaders, HeaderReader } from '../http/headerReader.js';
+import type { ResponseHeaders, HeaderReader } from '../http/headerReader.js';
 import { MessageParser, type MessageHead } from '../http/messageParser.js';
 import { writeParts } from '../http/messageText.js';
 
@@ -25,7 +25,7 @@
 /** A complete response. */
 export interface TargetResponse {
   status: number;
-  headers: AnswerHeaders;
+  headers: ResponseHeaders;
   body: Buffer;
 }
 
@@ -205,7 +205,7 @@
     if (!head) {
       return;
     }
-    const headers = this._headers.readAnswer(head.headers, head.status);
+    const headers = this._headers.readResponse(head.headers, head.status);
     const response = { status: head.status, headers, body: this._body() };
     this._head = undefined;
     this._parts = [];
--- a/packages/mesh/src/http/headerReader.ts
+++ b/packages/mesh/src/http/headerReader.ts
@@ -24,11 +24,11 @@
   /** Values of the headers that carry a key; they are passed on only where no key is asked for. */
   credentials: string[];
   /** Headers that are passed on, names and values in turn. */
-  kept: string[];
+  forwarded: string[];
 }
 
 /** What a daemon reads of an answer's headers. */
-export interface AnswerHeaders {
+export interface ResponseHeaders {
   requestId: string;
   /** Whether the end of the body can be told from a connection that was cut. */
   framed: boolean;
@@ -37,11 +37,11 @@
   sealed: boolean;
   /** Time for which the target keeps the connection, in seconds, if it says so. */
   keepAliveSeconds: number | undefined;
-  kept: string[];
+  forwarded: string[];
 }
 
 /** Headers that concern one connection only. */
-const kConnectionHeaders = [
+const kHopByHopHeaders = [
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -59,20 +59,20 @@
 export const kCredentialsHeader = 'authorization';
 
 /** Most spellings of names that are remembered; callers may send any. */
-const kMaxSpellings = 500;
+const kMaxCachedNames = 500;
 
 /** Names in lower case, by the spelling that came: few spellings come again and again. */
-class LowerCase {
-  private _known = new Map<string, string>();
+class LowerCaseCache {
+  private _cache = new Map<string, string>();
 
   of(name: string): string {
-    let lower = this._known.get(name);
+    let lower = this._cache.get(name);
     if (lower === undefined) {
-      if (this._known.size >= kMaxSpellings) {
-        this._known = new Map();
+      if (this._cache.size >= kMaxCachedNames) {
+        this._cache = new Map();
       }
       lower = name.toLowerCase();
-      this._known.set(name, lower);
+      this._cache.set(name, lower);
     }
     return lower;
   }
@@ -80,13 +80,13 @@
 
 /** Reads headers under the names of one platform. */
 export class HeaderReader {
-  private readonly _lowerCase = new LowerCase();
-  private readonly _ofRequest: ReadonlySet<string>;
-  private readonly _ofAnswer: ReadonlySet<string>;
+  private readonly _lowerCase = new LowerCaseCache();
+  private readonly _consumedRequestHeaders: ReadonlySet<string>;
+  private readonly _consumedResponseHeaders: ReadonlySet<string>;
 
   constructor(private readonly _names: HeaderNames) {
-    this._ofRequest = new Set([
-      ...kConnectionHeaders,
+    this._consumedRequestHeaders = new Set([
+      ...kHopByHopHeaders,
       kCredentialsHeader,
       _names.remainingMs,
       _names.expectedInstance,
@@ -94,7 +94,7 @@
       _names.requestId,
       _names.workspace,
     ]);
-    this._ofAnswer = new Set([...kConnectionHeaders, _names.requestId]);
+    this._consumedResponseHeaders = new Set([...kHopByHopHeaders, _names.requestId]);
   }
 
   /** Reads a request's headers; of one that came twice the first counts. */
@@ -107,20 +107,20 @@
       bodyBytes: 0,
       expectsContinue: false,
       credentials: [],
-      kept: [],
+      forwarded: [],
     };
     let connection = '';
     for (let i = 0; i < raw.length; i += 2) {
       const name = raw[i] ?? '';
       const value = raw[i + 1] ?? '';
       const lower = this._lowerCase.of(name);
-      if (!this._ofRequest.has(lower)) {
-        read.kept.push(name, value);
+      if (!this._consumedRequestHeaders.has(lower)) {
+        read.forwarded.push(name, value);
         read.host ||= lower === 'host' ? value : '';
       } else if (lower === names.requestId) {
         read.requestId ||= value;
       } else if (lower === names.remainingMs) {
-        read.remainingMs = positive(value) ?? read.remainingMs;
+        read.remainingMs = parsePositive(value) ?? read.remainingMs;
       } else if (lower === kCredentialsHeader) {
         read.credentials.push(value);
       } else if (lower === 'content-length') {
@@ -131,28 +131,28 @@
         connection = connection === '' ? value : `${connection},${value}`;
       }
     }
-    read.kept = this._withoutNamed(read.kept, connection);
+    read.forwarded = this._withoutConnectionOptions(read.forwarded, connection);
     return read;
   }
 
   /** Reads an answer's headers. */
-  readAnswer(raw: readonly string[], status: number): AnswerHeaders {
+  readResponse(raw: readonly string[], status: number): ResponseHeaders {
     const names = this._names;
-    const read: AnswerHeaders = {
+    const read: ResponseHeaders = {
       requestId: '',
       framed: status === 204 || status === 304,
       notRun: false,
       sealed: false,
       keepAliveSeconds: undefined,
-      kept: [],
+      forwarded: [],
     };
     let connection = '';
     for (let i = 0; i < raw.length; i += 2) {
       const name = raw[i] ?? '';
       const value = raw[i + 1] ?? '';
       const lower = this._lowerCase.of(name);
-      if (!this._ofAnswer.has(lower)) {
-        read.kept.push(name, value);
+      if (!this._consumedResponseHeaders.has(lower)) {
+        read.forwarded.push(name, value);
         read.sealed ||= lower === names.seal;
         read.notRun ||= lower === names.notRun;
       } else if (lower === names.requestId) {
@@ -160,17 +160,17 @@
       } else if (lower === 'content-length' || lower === 'transfer-encoding') {
         read.framed = true;
       } else if (lower === 'keep-alive') {
-        read.keepAliveSeconds = keepAliveSeconds(value);
+        read.keepAliveSeconds = parseKeepAliveTimeout(value);
       } else if (lower === 'connection') {
         connection = connection === '' ? value : `${connection},${value}`;
       }
     }
-    read.kept = this._withoutNamed(read.kept, connection);
+    read.forwarded = this._withoutConnectionOptions(read.forwarded, connection);
     return read;
   }
 
   /** Headers that `connection` names concern one connection too. */
-  private _withoutNamed(headers: string[], connection: string): string[] {
+  private _withoutConnectionOptions(headers: string[], connection: string): string[] {
     if (connection === '' || connection === 'keep-alive' || connection === 'close') {
       return headers;
     }
@@ -179,12 +179,12 @@
   }
 }
 
-function positive(value: string): number | undefined {
+function parsePositive(value: string): number | undefined {
   const number = Number(value);
   return Number.isFinite(number) && number > 0 ? number : undefined;
 }
 
-function keepAliveSeconds(value: string): number | undefined {
+function parseKeepAliveTimeout(value: string): number | undefined {
   const match = /(?:^|[\s,])timeout=(\d+)/i.exec(value);
   return match ? Number(match[1]) : undefined;
 }
--- a/packages/mesh/src/http/messageParser.ts
+++ b/packages/mesh/src/http/messageParser.ts
@@ -39,14 +39,14 @@
 export type ParseFault = 'malformed' | 'head_too_long';
 
 /** Kinds of messages, as the library numbers them. */
-const kTypes = { request: 1, answer: 2 } as const;
+const kMessageTypes = { request: 1, answer: 2 } as const;
 /** Result of a callback that ends the parsing with an error. */
-const kStop = -1;
+const kAbort = -1;
 /** Results of the library: all well, and a message that asks for another protocol, which nobody here speaks. */
 const kOk = 0;
 const kPausedUpgrade = 22;
 /** Bytes by which the buffer that is shared with the library grows. */
-const kPage = 4_096;
+const kBufferGrowthBytes = 4_096;
 
 /** Methods in the order in which the library numbers them. */
 const kMethods = [
@@ -101,26 +101,27 @@
 }
 
 /** The parser whose bytes are being parsed, those bytes, and where the library has them. One at a time: nothing here waits. */
-let current: MessageParser | undefined;
-let chunk: Buffer = Buffer.alloc(0);
-let base = 0;
+let activeParser: MessageParser | undefined;
+let activeChunk: Buffer = Buffer.alloc(0);
+let activeChunkAddress = 0;
 
 function textAt(at: number, bytes: number): string {
-  return chunk.toString('latin1', at - base, at - base + bytes);
+  return activeChunk.toString('latin1', at - activeChunkAddress, at - activeChunkAddress + bytes);
 }
 
 function load(): Llhttp {
   const instance = new WebAssembly.Instance(new WebAssembly.Module(llhttpCode.code), {
     env: {
-      wasm_on_message_begin: () => current?.begun() ?? kStop,
-      wasm_on_url: (_parser: number, at: number, bytes: number) => current?.gotTarget(textAt(at, bytes)) ?? kStop,
+      wasm_on_message_begin: () => activeParser?.onMessageBegin() ?? kAbort,
+      wasm_on_url: (_parser: number, at: number, bytes: number) => activeParser?.onTarget(textAt(at, bytes)) ?? kAbort,
       wasm_on_status: () => kOk,
-      wasm_on_header_field: (_parser: number, at: number, bytes: number) => current?.gotName(textAt(at, bytes)) ?? kStop,
-      wasm_on_header_value: (_parser: number, at: number, bytes: number) => current?.gotValue(textAt(at, bytes)) ?? kStop,
+      wasm_on_header_field: (_parser: number, at: number, bytes: number) => activeParser?.onHeaderName(textAt(at, bytes)) ?? kAbort,
+      wasm_on_header_value: (_parser: number, at: number, bytes: number) => activeParser?.onHeaderValue(textAt(at, bytes)) ?? kAbort,
       wasm_on_headers_complete: (_parser: number, status: number, _upgrade: number, keepAlive: number) =>
-        current?.gotHead(status, keepAlive !== 0) ?? kStop,
-      wasm_on_body: (_parser: number, at: number, bytes: number) => current?.gotBody(chunk.subarray(at - base, at - base + bytes)) ?? kStop,
-      wasm_on_message_complete: () => current?.ended() ?? kStop,
+        activeParser?.onHeadersComplete(status, keepAlive !== 0) ?? kAbort,
+      wasm_on_body: (_parser: number, at: number, bytes: number) =>
+        activeParser?.onBodyPart(activeChunk.subarray(at - activeChunkAddress, at - activeChunkAddress + bytes)) ?? kAbort,
+      wasm_on_message_complete: () => activeParser?.onMessageComplete() ?? kAbort,
     },
   });
   const exports = instance.exports as Llhttp;
@@ -129,40 +130,40 @@
 }
 
 const llhttp = load();
-let sharedAt = 0;
-let sharedBytes = 0;
-let shared = new Uint8Array(0);
+let libraryBufferAddress = 0;
+let libraryBufferBytes = 0;
+let libraryBuffer = new Uint8Array(0);
 
 /** Copies bytes to where the library can read them, and returns the place. */
-function share(bytes: Uint8Array): number {
-  if (bytes.length > sharedBytes) {
-    if (sharedBytes > 0) {
-      llhttp.free(sharedAt);
+function copyToLibrary(bytes: Uint8Array): number {
+  if (bytes.length > libraryBufferBytes) {
+    if (libraryBufferBytes > 0) {
+      llhttp.free(libraryBufferAddress);
     }
-    sharedBytes = Math.ceil(bytes.length / kPage) * kPage;
-    sharedAt = llhttp.malloc(sharedBytes);
+    libraryBufferBytes = Math.ceil(bytes.length / kBufferGrowthBytes) * kBufferGrowthBytes;
+    libraryBufferAddress = llhttp.malloc(libraryBufferBytes);
   }
   // The memory of the library is another one once it has grown.
-  if (shared.buffer !== llhttp.memory.buffer || shared.length !== sharedBytes) {
-    shared = new Uint8Array(llhttp.memory.buffer, sharedAt, sharedBytes);
+  if (libraryBuffer.buffer !== llhttp.memory.buffer || libraryBuffer.length !== libraryBufferBytes) {
+    libraryBuffer = new Uint8Array(llhttp.memory.buffer, libraryBufferAddress, libraryBufferBytes);
   }
-  shared.set(bytes);
-  return sharedAt;
+  libraryBuffer.set(bytes);
+  return libraryBufferAddress;
 }
 
 function execute(owner: MessageParser, parser: number, bytes: Buffer): number {
-  current = owner;
-  chunk = bytes;
-  base = share(bytes);
-  const result = llhttp.llhttp_execute(parser, base, bytes.length);
-  current = undefined;
+  activeParser = owner;
+  activeChunk = bytes;
+  activeChunkAddress = copyToLibrary(bytes);
+  const result = llhttp.llhttp_execute(parser, activeChunkAddress, bytes.length);
+  activeParser = undefined;
   return result;
 }
 
 function finish(owner: MessageParser, parser: number): number {
-  current = owner;
+  activeParser = owner;
   const result = llhttp.llhttp_finish(parser);
-  current = undefined;
+  activeParser = undefined;
   return result;
 }
 
@@ -174,19 +175,19 @@
   private _target = '';
   private _headers: string[] = [];
   /** Whether the last text was a name: names and values may come in parts. */
-  private _inName = false;
+  private _lastWasName = false;
   private _headBytes = 0;
   private _inMessage = false;
-  private _tooLong = false;
+  private _headTooLong = false;
   private _closed = false;
 
   /** @param skipsBody asked with each head, whether no body follows whatever the head says: the answer to HEAD */
   constructor(
-    private readonly _type: keyof typeof kTypes,
+    private readonly _type: keyof typeof kMessageTypes,
     private readonly _events: MessageEvents,
     private readonly _skipsBody: () => boolean = () => false,
   ) {
-    this._parser = llhttp.llhttp_alloc(kTypes[_type]);
+    this._parser = llhttp.llhttp_alloc(kMessageTypes[_type]);
   }
 
   /** Whether a message has begun and not ended. */
@@ -213,45 +214,45 @@
   }
 
   /** @internal Called by the library, as are all below. */
-  begun(): number {
+  onMessageBegin(): number {
     this._target = '';
     this._headers = [];
-    this._inName = false;
+    this._lastWasName = false;
     this._headBytes = 0;
     this._inMessage = true;
     return kOk;
   }
 
   /** @internal */
-  gotTarget(text: string): number {
+  onTarget(text: string): number {
     this._target += text;
-    return this._count(text);
+    return this._countHeadBytes(text);
   }
 
   /** @internal */
-  gotName(text: string): number {
-    if (this._inName) {
-      this._continue(text);
+  onHeaderName(text: string): number {
+    if (this._lastWasName) {
+      this._appendToLast(text);
     } else {
       this._headers.push(text);
-      this._inName = true;
+      this._lastWasName = true;
     }
-    return this._count(text);
+    return this._countHeadBytes(text);
   }
 
   /** @internal */
-  gotValue(text: string): number {
-    if (this._inName) {
+  onHeaderValue(text: string): number {
+    if (this._lastWasName) {
       this._headers.push(text);
-      this._inName = false;
+      this._lastWasName = false;
     } else {
-      this._continue(text);
+      this._appendToLast(text);
     }
-    return this._count(text);
+    return this._countHeadBytes(text);
   }
 
   /** @internal */
-  gotHead(status: number, keepAlive: boolean): number {
+  onHeadersComplete(status: number, keepAlive: boolean): number {
     // A header without a value has none told.
     if (this._headers.length % 2 === 1) {
       this._headers.push('');
@@ -264,32 +265,32 @@
   }
 
   /** @internal */
-  gotBody(part: Buffer): number {
+  onBodyPart(part: Buffer): number {
     this._events.onBody(part);
     return kOk;
   }
 
   /** @internal */
-  ended(): number {
+  onMessageComplete(): number {
     this._inMessage = false;
     this._events.onEnd();
     return kOk;
   }
 
   /** Names and values come in parts where the bytes were split. */
-  private _continue(text: string): void {
+  private _appendToLast(text: string): void {
     const part = this._headers.pop() ?? '';
     this._headers.push(part + text);
   }
 
-  private _count(text: string): number {
+  private _countHeadBytes(text: string): number {
     this._headBytes += text.length;
-    this._tooLong = this._headBytes > this.maxHeadBytes;
-    return this._tooLong ? kStop : kOk;
+    this._headTooLong = this._headBytes > this.maxHeadBytes;
+    return this._headTooLong ? kAbort : kOk;
   }
 
   private _faultOf(result: number): ParseFault | undefined {
-    if (this._tooLong) {
+    if (this._headTooLong) {
       return 'head_too_long';
     }
     if (result === kPausedUpgrade) {
--- a/packages/mesh/src/http/messageText.ts
+++ b/packages/mesh/src/http/messageText.ts
@@ -9,18 +9,18 @@
 import type { Socket } from 'node:net';
 
 /** Body from which on it is written by itself rather than copied behind its head, in bytes. */
-const kCopiedBody = 32_768;
+const kMaxCopiedBodyBytes = 32_768;
 
 /** Head and body of a request as they go to a connection; `headers` are names and values in turn. */
-export function requestBytes(method: string, target: string, headers: readonly string[], body: Buffer): Buffer[] {
+export function encodeRequest(method: string, target: string, headers: readonly string[], body: Buffer): Buffer[] {
   const bodiless = body.length === 0 && (method === 'GET' || method === 'HEAD');
-  return joined(`${method} ${target} HTTP/1.1\r\n`, headers, bodiless ? undefined : body.length, body);
+  return encodeMessage(`${method} ${target} HTTP/1.1\r\n`, headers, bodiless ? undefined : body.length, body);
 }
 
 /** Head and body of an answer; the answer to a HEAD request has no body. */
-export function answerBytes(status: number, headers: readonly string[], body: Buffer, toHead: boolean): Buffer[] {
+export function encodeResponse(status: number, headers: readonly string[], body: Buffer, isHead: boolean): Buffer[] {
   const start = `HTTP/1.1 ${status} ${STATUS_CODES[status] ?? ''}\r\n`;
-  return joined(start, headers, status === 204 || status === 304 ? undefined : body.length, toHead ? body.subarray(0, 0) : body);
+  return encodeMessage(start, headers, status === 204 || status === 304 ? undefined : body.length, isHead ? body.subarray(0, 0) : body);
 }
 
 /** Writes the parts of a message at once. */
@@ -37,13 +37,13 @@
   socket.uncork();
 }
 
-function joined(start: string, headers: readonly string[], length: number | undefined, body: Buffer): Buffer[] {
+function encodeMessage(start: string, headers: readonly string[], length: number | undefined, body: Buffer): Buffer[] {
   let head = start;
   for (let i = 0; i < headers.length; i += 2) {
     head += `${headers[i]}: ${headers[i + 1]}\r\n`;
   }
   head += length === undefined ? '\r\n' : `content-length: ${length}\r\n\r\n`;
-  if (body.length > kCopiedBody) {
+  if (body.length > kMaxCopiedBodyBytes) {
     return [Buffer.from(head, 'latin1'), body];
   }
   const bytes = Buffer.allocUnsafe(head.length + body.length);
--- a/packages/mesh/src/server/callServer.ts
+++ b/packages/mesh/src/server/callServer.ts
@@ -202,11 +202,11 @@
   }
 
   /** Removes the key header if keys are required; otherwise forwards it like any other header. */
-  private _forwardedHeaders({ headers: { kept, credentials } }: CallerRequest): string[] {
+  private _forwardedHeaders({ headers: { forwarded, credentials } }: CallerRequest): string[] {
     if (credentials.length === 0 || this._deps.keysRequired()) {
-      return kept;
+      return forwarded;
     }
-    return [...kept, ...credentials.flatMap((value) => [kCredentialsHeader, value])];
+    return [...forwarded, ...credentials.flatMap((value) => [kCredentialsHeader, value])];
   }
 
   private _respond(req: CallerRequest, result: ExchangeEnd): void {
--- a/packages/mesh/src/server/callerConnection.ts
+++ b/packages/mesh/src/server/callerConnection.ts
@@ -12,7 +12,7 @@
 import { monotonicMs } from '@gentiandrum/core';
 import type { HeaderReader, RequestHeaders } from '../http/headerReader.js';
 import { MessageParser, type MessageHead, type ParseFault } from '../http/messageParser.js';
-import { answerBytes, writeParts } from '../http/messageText.js';
+import { encodeResponse, writeParts } from '../http/messageText.js';
 import type { BodyMemory } from './bodyMemory.js';
 
 /** Largest number of requests of one connection that are in flight at once; further ones wait. */
@@ -167,7 +167,7 @@
     this._releaseBody(req);
     const last = this._isLast(req);
     const all = last ? [...headers, 'connection', 'close'] : headers;
-    req.response = answerBytes(status, all, body, req.method === 'HEAD');
+    req.response = encodeResponse(status, all, body, req.method === 'HEAD');
     req.isLast = last;
     this._writeResponses();
   }
