--- a/packages/mesh/src/http/headerReader.ts
+++ b/packages/mesh/src/http/headerReader.ts
@@ -4,43 +4,42 @@
  */
 
 /**
- * Reads the headers of a message in one pass: those that the daemon acts on, and those that it passes on. Headers that concern
- * one connection only, or that the daemon sets itself, are not passed on. The id of a request is carried beside its headers,
- * and set again on the way to the target and to the caller.
+ * Reads the headers of a message in one pass: extracts those that the daemon uses, and collects those that it forwards. Hop-by-hop
+ * headers and headers that the daemon sets itself are not forwarded.
  */
 
 import type { HeaderNames } from '../ports.js';
 
-/** What a daemon reads of a request's headers. */
+/** Headers of a request. */
 export interface RequestHeaders {
   host: string;
   requestId: string;
-  /** Time for which the caller will wait, in milliseconds; infinite when it names none. */
+  /** Time until the caller's deadline, in milliseconds; infinite when the caller sends none. */
   remainingMs: number;
-  /** Length of the body that is announced, in bytes; 0 when none is. */
+  /** Content length, in bytes; 0 when the header is missing. */
   bodyBytes: number;
-  /** Whether the caller waits for a word before it sends the body. */
+  /** Whether the caller waits for a "100 Continue" response before it sends the body. */
   expectsContinue: boolean;
-  /** Values of the headers that carry a key; they are passed on only where no key is asked for. */
+  /** Values of the headers that carry a key; forwarded only if no keys are required. */
   credentials: string[];
-  /** Headers that are passed on, names and values in turn. */
+  /** Headers to forward, as alternating names and values. */
   forwarded: string[];
 }
 
-/** What a daemon reads of an answer's headers. */
+/** Headers of a response. */
 export interface ResponseHeaders {
   requestId: string;
-  /** Whether the end of the body can be told from a connection that was cut. */
+  /** Whether the end of the body can be distinguished from a lost connection. */
   framed: boolean;
-  /** Whether the target proved that it has not run the request. */
+  /** Whether the response proves that the target has not run the request. */
   notRun: boolean;
   sealed: boolean;
-  /** Time for which the target keeps the connection, in seconds, if it says so. */
+  /** Keep-alive timeout of the target, in seconds; undefined when it sends none. */
   keepAliveSeconds: number | undefined;
   forwarded: string[];
 }
 
-/** Headers that concern one connection only. */
+/** Headers that apply to one connection only. */
 const kHopByHopHeaders = [
   'connection',
   'keep-alive',
@@ -58,10 +57,10 @@
 /** Header that carries the key of a workspace. */
 export const kCredentialsHeader = 'authorization';
 
-/** Most spellings of names that are remembered; callers may send any. */
+/** Largest number of cached names; the limit is needed because callers may send any. */
 const kMaxCachedNames = 500;
 
-/** Names in lower case, by the spelling that came: few spellings come again and again. */
+/** Caches the lower case of header names. */
 class LowerCaseCache {
   private _cache = new Map<string, string>();
 
@@ -78,7 +77,7 @@
   }
 }
 
-/** Reads headers under the names of one platform. */
+/** Reads headers with the header names of one platform. */
 export class HeaderReader {
   private readonly _lowerCase = new LowerCaseCache();
   private readonly _consumedRequestHeaders: ReadonlySet<string>;
@@ -97,7 +96,7 @@
     this._consumedResponseHeaders = new Set([...kHopByHopHeaders, _names.requestId]);
   }
 
-  /** Reads a request's headers; of one that came twice the first counts. */
+  /** Reads the headers of a request. If a host or request id header is repeated, the first value counts. */
   readRequest(raw: readonly string[]): RequestHeaders {
     const names = this._names;
     const read: RequestHeaders = {
@@ -135,7 +134,7 @@
     return read;
   }
 
-  /** Reads an answer's headers. */
+  /** Reads the headers of a response. */
   readResponse(raw: readonly string[], status: number): ResponseHeaders {
     const names = this._names;
     const read: ResponseHeaders = {
@@ -169,7 +168,7 @@
     return read;
   }
 
-  /** Headers that `connection` names concern one connection too. */
+  /** Removes the headers that the `connection` header names, as they apply to one connection only. */
   private _withoutConnectionOptions(headers: string[], connection: string): string[] {
     if (connection === '' || connection === 'keep-alive' || connection === 'close') {
       return headers;
--- a/packages/mesh/src/http/llhttp.d.ts
+++ b/packages/mesh/src/http/llhttp.d.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The parser that undici brings, compiled to WebAssembly; neither it nor the runtime's loader has types here. */
+/** Types of the WebAssembly build of llhttp in undici, and of the runtime's WebAssembly API. */
 
 declare module 'undici/lib/llhttp/llhttp-wasm.js' {
   const code: Uint8Array;
--- a/packages/mesh/src/http/llhttpCode.cts
+++ b/packages/mesh/src/http/llhttpCode.cts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Code of the HTTP parser that undici brings. Handed on inside an object: a bundler makes a copy of each property of what a
- * module exports, and a bare buffer has one for each byte, which would add 0.1 s to each start.
+ * WebAssembly code of llhttp from undici. Exported inside an object, because a bundler copies each property of an export, and a
+ * plain buffer has one property for each byte.
  */
 
 import code = require('undici/lib/llhttp/llhttp-wasm.js');
--- a/packages/mesh/src/http/messageParser.ts
+++ b/packages/mesh/src/http/messageParser.ts
@@ -4,51 +4,47 @@
  */
 
 /**
- * Cuts the bytes of one HTTP/1.1 connection into messages, with the strict parser (llhttp) that undici brings.
- *
- * A daemon handles most of its processor time at sockets, and node's HTTP server and undici's client build streams, timers
- * and header objects for each message that the daemon has no use for: 100 µs of user time for a request and its answer with
- * node's server, 65 µs with this parser on a plain socket (a bare server, 800 requests a second, 40 connections).
+ * Parses the byte stream of an HTTP/1.1 connection with llhttp, the strict parser of undici. Node's HTTP server and undici's client
+ * are not used, because they create streams, timers and header objects for each message that the daemon does not need.
  */
 
 import llhttpCode from './llhttpCode.cjs';
 
-/** Head of a message. */
 export interface MessageHead {
-  /** Empty in answers. */
+  /** Empty in responses. */
   method: string;
-  /** Request target; empty in answers. */
+  /** Request target; empty in responses. */
   target: string;
   /** 0 in requests. */
   status: number;
-  /** Names and values in turn, as they came. */
+  /** Alternating names and values, as received. */
   headers: string[];
-  /** Whether the connection outlives the message. */
+  /** Whether the connection stays open after the message. */
   keepAlive: boolean;
 }
 
-/** What a parser tells of the messages that it finds. */
+/** Callbacks for parsed messages. */
 export interface MessageEvents {
   onHead(head: MessageHead): void;
-  /** Part of the body; a view of the bytes that were given to the parser. */
+  /** Part of the body; a view of the chunk that was passed to the parser. */
   onBody(part: Buffer): void;
   onEnd(): void;
 }
 
-/** Why bytes are no message. */
+/** Reason for rejecting a message. */
 export type ParseFault = 'malformed' | 'head_too_long';
 
-/** Kinds of messages, as the library numbers them. */
+/** Message types of llhttp. */
 const kMessageTypes = { request: 1, answer: 2 } as const;
-/** Result of a callback that ends the parsing with an error. */
+/** Result of a callback that aborts parsing with an error. */
 const kAbort = -1;
-/** Results of the library: all well, and a message that asks for another protocol, which nobody here speaks. */
+/** Results of llhttp: success, and a pause after a message that requests a protocol upgrade, which is not supported. */
 const kOk = 0;
 const kPausedUpgrade = 22;
-/** Bytes by which the buffer that is shared with the library grows. */
+/** Granularity of the size of the library's input buffer, in bytes. */
 const kBufferGrowthBytes = 4_096;
 
-/** Methods in the order in which the library numbers them. */
+/** Method names by their number in llhttp. */
 const kMethods = [
   'DELETE',
   'GET',
@@ -86,7 +82,7 @@
   'SOURCE',
 ];
 
-/** What the library exports. */
+/** Exports of the WebAssembly module. */
 interface Llhttp {
   memory: WebAssembly.Memory;
   _initialize(): void;
@@ -100,7 +96,7 @@
   llhttp_resume_after_upgrade(parser: number): void;
 }
 
-/** The parser whose bytes are being parsed, those bytes, and where the library has them. One at a time: nothing here waits. */
+/** The parser that is running, its chunk, and the chunk's address in the library's memory. Parsing is synchronous. */
 let activeParser: MessageParser | undefined;
 let activeChunk: Buffer = Buffer.alloc(0);
 let activeChunkAddress = 0;
@@ -134,7 +130,7 @@
 let libraryBufferBytes = 0;
 let libraryBuffer = new Uint8Array(0);
 
-/** Copies bytes to where the library can read them, and returns the place. */
+/** Copies bytes into the library's memory and returns their address. */
 function copyToLibrary(bytes: Uint8Array): number {
   if (bytes.length > libraryBufferBytes) {
     if (libraryBufferBytes > 0) {
@@ -143,7 +139,7 @@
     libraryBufferBytes = Math.ceil(bytes.length / kBufferGrowthBytes) * kBufferGrowthBytes;
     libraryBufferAddress = llhttp.malloc(libraryBufferBytes);
   }
-  // The memory of the library is another one once it has grown.
+  // When the library's memory grows, its previous buffer is detached.
   if (libraryBuffer.buffer !== llhttp.memory.buffer || libraryBuffer.length !== libraryBufferBytes) {
     libraryBuffer = new Uint8Array(llhttp.memory.buffer, libraryBufferAddress, libraryBufferBytes);
   }
@@ -167,21 +163,20 @@
   return result;
 }
 
-/** Parser of one connection. */
 export class MessageParser {
-  /** Longest head that is taken, in bytes of its names, values and target. */
+  /** Longest accepted head, in bytes of its names, values and target. */
   maxHeadBytes = 65_536;
   private readonly _parser: number;
   private _target = '';
   private _headers: string[] = [];
-  /** Whether the last text was a name: names and values may come in parts. */
+  /** Whether the last text was a header name; names and values may be reported in parts. */
   private _lastWasName = false;
   private _headBytes = 0;
   private _inMessage = false;
   private _headTooLong = false;
   private _closed = false;
 
-  /** @param skipsBody asked with each head, whether no body follows whatever the head says: the answer to HEAD */
+  /** @param _skipsBody called for each head; returns whether the message has no body regardless of its headers: a response to HEAD */
   constructor(
     private readonly _type: keyof typeof kMessageTypes,
     private readonly _events: MessageEvents,
@@ -190,22 +185,22 @@
     this._parser = llhttp.llhttp_alloc(kMessageTypes[_type]);
   }
 
-  /** Whether a message has begun and not ended. */
+  /** Whether a message is incomplete. */
   get inMessage(): boolean {
     return this._inMessage;
   }
 
-  /** Takes bytes; what it tells of them is told before it returns. */
+  /** Parses a chunk; all callbacks are called before it returns. */
   push(bytes: Buffer): ParseFault | undefined {
     return this._faultOf(execute(this, this._parser, bytes));
   }
 
-  /** The connection ended; the end of an answer without a length is told now. */
+  /** Signals the end of the connection, which completes a response without a length. */
   finish(): ParseFault | undefined {
     return this._faultOf(finish(this, this._parser));
   }
 
-  /** Frees what the library holds. */
+  /** Frees the library's memory for this parser. */
   close(): void {
     if (!this._closed) {
       this._closed = true;
@@ -213,7 +208,7 @@
     }
   }
 
-  /** @internal Called by the library, as are all below. */
+  /** @internal Called by the library, as are the next methods. */
   onMessageBegin(): number {
     this._target = '';
     this._headers = [];
@@ -253,13 +248,13 @@
 
   /** @internal */
   onHeadersComplete(status: number, keepAlive: boolean): number {
-    // A header without a value has none told.
+    // A header whose value was not reported has an empty value.
     if (this._headers.length % 2 === 1) {
       this._headers.push('');
     }
     const method = this._type === 'request' ? (kMethods[llhttp.llhttp_get_method(this._parser)] ?? '') : '';
     this._events.onHead({ method, target: this._target, status, headers: this._headers, keepAlive });
-    // What follows as trailers is no part of the head.
+    // Trailers are reported like headers, but are not part of the head.
     this._headers = [];
     return this._skipsBody() ? 1 : kOk;
   }
@@ -277,7 +272,7 @@
     return kOk;
   }
 
-  /** Names and values come in parts where the bytes were split. */
+  /** Appends the next part of a name or value that was split between chunks. */
   private _appendToLast(text: string): void {
     const part = this._headers.pop() ?? '';
     this._headers.push(part + text);
--- a/packages/mesh/src/http/messageText.ts
+++ b/packages/mesh/src/http/messageText.ts
@@ -3,27 +3,27 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Writes HTTP/1.1 messages: one buffer each, as each write to a socket costs more than the copy of a usual body. */
+/** Encodes HTTP/1.1 messages as one buffer where possible, because a write to a socket costs more than copying a short body. */
 
 import { STATUS_CODES } from 'node:http';
 import type { Socket } from 'node:net';
 
-/** Body from which on it is written by itself rather than copied behind its head, in bytes. */
+/** Longest body that is copied into the buffer of its head, in bytes; longer ones are written separately. */
 const kMaxCopiedBodyBytes = 32_768;
 
-/** Head and body of a request as they go to a connection; `headers` are names and values in turn. */
+/** Encodes a request as buffers to write; `headers` are alternating names and values. */
 export function encodeRequest(method: string, target: string, headers: readonly string[], body: Buffer): Buffer[] {
   const bodiless = body.length === 0 && (method === 'GET' || method === 'HEAD');
   return encodeMessage(`${method} ${target} HTTP/1.1\r\n`, headers, bodiless ? undefined : body.length, body);
 }
 
-/** Head and body of an answer; the answer to a HEAD request has no body. */
+/** Encodes a response as buffers to write; the response to a HEAD request (`isHead`) has no body. */
 export function encodeResponse(status: number, headers: readonly string[], body: Buffer, isHead: boolean): Buffer[] {
   const start = `HTTP/1.1 ${status} ${STATUS_CODES[status] ?? ''}\r\n`;
   return encodeMessage(start, headers, status === 204 || status === 304 ? undefined : body.length, isHead ? body.subarray(0, 0) : body);
 }
 
-/** Writes the parts of a message at once. */
+/** Writes the buffers of a message in one batch. */
 export function writeParts(socket: Socket, parts: readonly Buffer[]): void {
   const [only] = parts;
   if (parts.length === 1 && only) {
