--- a/packages/mesh/src/client/peerNetwork.ts
+++ b/packages/mesh/src/client/peerNetwork.ts
@@ -309,7 +309,7 @@
     if (this._links.get(expected) === link) {
       this._links.delete(expected);
     }
-    this._log.notable('peers', `Host ${host} responds at the address of ${expected}; treating ${expected} as removed.`, {
+    this._log.notable('peers', `Host ${host} responds at the address of ${expected}, which is treated as removed.`, {
       peer: host,
       gone: expected,
     });
