--- a/tests/mesh/answers.spec.ts
+++ b/tests/mesh/answers.spec.ts
@@ -10,7 +10,7 @@
 import { withFleet } from './meshFleet.js';
 
 describe('answers of a target', () => {
-  const bad: { mode: ResponseMode; status: number }[] = [
+  const badResponses: { mode: ResponseMode; status: number }[] = [
     { mode: 'unsealed', status: 502 },
     { mode: 'foreign_id', status: 502 },
     { mode: 'truncated', status: 502 },
@@ -22,7 +22,7 @@
     { mode: 'failing', status: 500 },
     { mode: 'shedding', status: 503 },
   ];
-  for (const { mode, status } of bad) {
+  for (const { mode, status } of badResponses) {
     itAlone(`should give a request that is not idempotent ${status} when the answer is ${mode}, and run it once`, (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/once/', service: 'holds', idempotent: false, maxAttempts: 3 }]);
--- a/tests/mesh/bundle.spec.ts
+++ b/tests/mesh/bundle.spec.ts
@@ -44,7 +44,7 @@
       child.stderr?.setEncoding('utf8').on('data', (text: string) => {
         errors += text;
       });
-      const ended = once(child, 'exit');
+      const exited = once(child, 'exit');
       await fleet.until('the bundled daemon to listen', () => target.sendHeartbeat(host.control).then(Boolean, () => false));
       await fleet.until('a call to be served by its target', async () => (await fleet.call(near, '/a/x')).status === 200);
       const first = JSON.stringify(settings);
@@ -63,7 +63,7 @@
         });
       }
       child.kill('SIGTERM');
-      t.deepEqual(await ended, [0, null]);
+      t.deepEqual(await exited, [0, null]);
       t.is(errors, '', 'the compiled code beside the bundle should fit the flags of the deploy file');
       target.close();
     } finally {
--- a/tests/mesh/callers.spec.ts
+++ b/tests/mesh/callers.spec.ts
@@ -10,7 +10,7 @@
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 import { RawCaller, requestText } from './rawCaller.js';
 
-async function oneHost(fleet: MeshFleet, limits: Record<string, number> = {}): Promise<FleetHost> {
+async function startHost(fleet: MeshFleet, limits: Record<string, number> = {}): Promise<FleetHost> {
   fleet.configure(
     [
       { prefix: '/a/', service: 'reads' },
@@ -26,7 +26,7 @@
 describe('callers', () => {
   itAlone('should get the answers of a pipeline in the order of its requests', (t) =>
     withFleet(async (fleet) => {
-      const host = await oneHost(fleet);
+      const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
       host.target.workMs = 120;
       caller.write(requestText('/a/1', 'p1'));
@@ -35,13 +35,13 @@
       caller.write(requestText('/a/2', 'p2') + requestText('/a/3', 'p3'));
       const text = await caller.until(/did p3/);
       t.deepEqual(text.match(/did p\d/g), ['did p1', 'did p2', 'did p3']);
-      caller.leave();
+      caller.disconnect();
     }),
   );
 
   itAlone('should have chunked bodies passed on whole, and their connection kept', (t) =>
     withFleet(async (fleet) => {
-      const host = await oneHost(fleet);
+      const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
       const headers = ['Transfer-Encoding: chunked'];
       caller.write(requestText('/once/1', 'c1', { method: 'POST', headers, body: '5\r\nfirst\r\n' }));
@@ -50,13 +50,13 @@
       t.is(host.target.seen.at(-1)?.body, 'first second');
       caller.write(requestText('/a/2', 'c2'));
       t.regex(await caller.until(/did c2/), /did c2/);
-      caller.leave();
+      caller.disconnect();
     }),
   );
 
   itAlone('should have long bodies passed on whole, also when the target answers before it has read them', (t) =>
     withFleet(async (fleet) => {
-      const host = await oneHost(fleet);
+      const host = await startHost(fleet);
       const body = 'x'.repeat(700_000);
       t.is((await fleet.call(host, '/once/1', { method: 'POST', body })).status, 200);
       t.is(host.target.seen.at(-1)?.body.length, body.length);
@@ -73,7 +73,7 @@
 
   itAlone('should get their answer whole when they read slowly', (t) =>
     withFleet(async (fleet) => {
-      const host = await oneHost(fleet);
+      const host = await startHost(fleet);
       host.target.padding = 900_000;
       const caller = await RawCaller.open(host.calls);
       caller.pause();
@@ -84,13 +84,13 @@
       const text = await caller.until(/did s1x*$/);
       await fleet.until('all bytes', () => caller.text.length > 900_000);
       t.regex(text, /^HTTP\/1.1 200/);
-      caller.leave();
+      caller.disconnect();
     }),
   );
 
   itAlone('should be told 408 when their body does not come, and 431 for a head over the limit', (t) =>
     withFleet(async (fleet) => {
-      const host = await oneHost(fleet, { max_header_bytes: 2_000 });
+      const host = await startHost(fleet, { max_header_bytes: 2_000 });
       const late = await RawCaller.open(host.calls);
       const headers = ['Content-Length: 10'];
       late.write(requestText('/once/1', 'l1', { method: 'POST', headers, body: 'half' }).replace('3000', '200'));
@@ -104,7 +104,7 @@
 
   itAlone('should not smuggle a request inside another, nor have bytes after one taken for more', (t) =>
     withFleet(async (fleet) => {
-      const host = await oneHost(fleet);
+      const host = await startHost(fleet);
       const before = host.target.seen.length;
       const twice = await RawCaller.open(host.calls);
       const inner = requestText('/once/inner', 'i1', { method: 'POST' });
@@ -121,25 +121,25 @@
 
   itAlone('should free their target when they leave, unless what runs must not be repeated', (t) =>
     withFleet(async (fleet) => {
-      const host = await oneHost(fleet);
+      const host = await startHost(fleet);
       host.target.workMs = 400;
-      for (const [path, left] of [
+      for (const [path, expectedAborts] of [
         ['/a/1', 1],
         ['/once/1', 1],
       ] as const) {
         const caller = await RawCaller.open(host.calls);
         caller.write(requestText(path, path));
         await fleet.until('the target to work', () => host.target.running === 1);
-        caller.leave();
+        caller.disconnect();
         await fleet.until('the run to end', () => host.target.running === 0);
-        t.is(host.target.abortedRequests, left);
+        t.is(host.target.abortedRequests, expectedAborts);
       }
     }),
   );
 
   itAlone('should have all of a pipeline answered when its last request asks for the end of the connection', (t) =>
     withFleet(async (fleet) => {
-      const host = await oneHost(fleet);
+      const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
       caller.write(requestText('/a/1', 'e1') + requestText('/a/2', 'e2', { headers: ['Connection: close'] }));
       const text = await caller.untilClosed();
@@ -150,7 +150,7 @@
 
   itAlone('should be told to go on before a body, and get no body in answer to HEAD', (t) =>
     withFleet(async (fleet) => {
-      const host = await oneHost(fleet);
+      const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
       caller.write(requestText('/once/1', 'x1', { method: 'POST', headers: ['Content-Length: 4', 'Expect: 100-continue'] }));
       t.regex(await caller.until(/100 Continue/), /^HTTP\/1.1 100 Continue\r\n\r\n$/);
@@ -160,13 +160,13 @@
       caller.write(requestText('/a/2', 'x2', { method: 'HEAD' }) + requestText('/a/3', 'x3'));
       const text = await caller.until(/did x3/);
       t.false(text.includes('did x2'));
-      caller.leave();
+      caller.disconnect();
     }),
   );
 
   itAlone('should have an idle connection ended after the limit, and a head that stalls answered 408', (t) =>
     withFleet(async (fleet) => {
-      const host = await oneHost(fleet, { idle_timeout_ms: 300, header_timeout_ms: 300 });
+      const host = await startHost(fleet, { idle_timeout_ms: 300, header_timeout_ms: 300 });
       const idle = await RawCaller.open(host.calls);
       idle.write(requestText('/a/1', 'i1'));
       await idle.until(/did i1/);
@@ -200,7 +200,7 @@
         caller.text.match(/did q\d+\./g),
         ids.map((id) => `did ${id}`),
       );
-      caller.leave();
+      caller.disconnect();
     }),
   );
 
@@ -218,7 +218,7 @@
       const seen = host.target.seen.at(-1);
       t.is(seen?.body, 'body');
       t.true((seen?.remainingMs ?? Infinity) <= 49_300);
-      caller.leave();
+      caller.disconnect();
     }),
   );
 });
--- a/tests/mesh/links.spec.ts
+++ b/tests/mesh/links.spec.ts
@@ -35,7 +35,7 @@
 const kTopic = 'keyed.gentiandrum-hosts';
 
 /** Something that listens where another daemon should. */
-async function withStranger(onSocket: (socket: Socket) => void, body: (address: string) => Promise<void>): Promise<void> {
+async function withFakePeer(onSocket: (socket: Socket) => void, body: (address: string) => Promise<void>): Promise<void> {
   const sockets = new Set<Socket>();
   const server: Server = createServer((socket) => {
     sockets.add(socket);
@@ -53,12 +53,12 @@
 }
 
 /** A daemon that believes in a target on a host which is reached at `peers`. */
-async function believer(fleet: MeshFleet, peers: string): Promise<FleetHost> {
+async function addHostWithKnownPeer(fleet: MeshFleet, peers: string): Promise<FleetHost> {
   fleet.configure([
     { prefix: '/a/', service: 'reads' },
     { prefix: '/once/', service: 'reads', idempotent: false },
   ]);
-  const ghost = {
+  const record = {
     host: 'ghost',
     zone: 'z1',
     peers,
@@ -69,7 +69,7 @@
     epoch: 1,
     revision: 1,
   };
-  fleet.store.put(kTopic, 'ghost', JSON.stringify(ghost));
+  fleet.store.put(kTopic, 'ghost', JSON.stringify(record));
   const host = await fleet.add('h1', 'other');
   await fleet.until('the daemon to be ready', async () => (await fleet.readiness(host)) === 200);
   return host;
@@ -78,10 +78,10 @@
 describe('a link to another daemon', () => {
   itAlone('should be given up when it stays silent, and the call answered 502: it may have run', (t) =>
     withFleet((fleet) =>
-      withStranger(
+      withFakePeer(
         () => undefined,
         async (address) => {
-          const host = await believer(fleet, address);
+          const host = await addHostWithKnownPeer(fleet, address);
           const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold', remainingMs: 20_000 });
           t.is(answer.status, 502);
           t.regex(answer.body, /no response to a ping/);
@@ -92,7 +92,7 @@
 
   itAlone('should answer 503 when it can not be opened: nothing ran', (t) =>
     withFleet(async (fleet) => {
-      const host = await believer(fleet, '127.0.0.1:9');
+      const host = await addHostWithKnownPeer(fleet, '127.0.0.1:9');
       const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
       t.is(answer.status, 503);
       t.truthy(answer.headers['retry-after']);
@@ -101,12 +101,12 @@
 
   itAlone('should answer 502 when it breaks with a call on it, or brings bytes that are no message', (t) =>
     withFleet((fleet) =>
-      withStranger(
+      withFakePeer(
         (socket) => {
           socket.on('data', () => socket.write(Buffer.alloc(64, 0xff)));
         },
         async (address) => {
-          const host = await believer(fleet, address);
+          const host = await addHostWithKnownPeer(fleet, address);
           const statuses = [];
           for (let i = 0; i < 3; i++) {
             statuses.push((await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' })).status);
@@ -123,7 +123,7 @@
    * that nobody read; without a word on them each counted as "may have run", and its caller got 502 for a call that was never taken.
    */
   describe('with a daemon that stops', () => {
-    const answerWith =
+    const sendGoodbye =
       (taken: (id: number) => number) =>
       (socket: Socket): void => {
         const reader = new MessageReader();
@@ -139,10 +139,10 @@
 
     itAlone('should answer 503 to a call that its last message does not count as taken', (t) =>
       withFleet((fleet) =>
-        withStranger(
-          answerWith((id) => id - 1),
+        withFakePeer(
+          sendGoodbye((id) => id - 1),
           async (address) => {
-            const host = await believer(fleet, address);
+            const host = await addHostWithKnownPeer(fleet, address);
             const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
             t.is(answer.status, 503);
             t.truthy(answer.headers['retry-after']);
@@ -153,10 +153,10 @@
 
     itAlone('should answer 502 to a call that was taken and has no answer', (t) =>
       withFleet((fleet) =>
-        withStranger(
-          answerWith((id) => id),
+        withFakePeer(
+          sendGoodbye((id) => id),
           async (address) => {
-            const host = await believer(fleet, address);
+            const host = await addHostWithKnownPeer(fleet, address);
             t.is((await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' })).status, 502);
           },
         ),
@@ -185,7 +185,7 @@
   });
 
   itAlone('should tell that a call was not run which was not yet written when the link ended', (t) => {
-    const ends: CallResult[] = [];
+    const results: CallResult[] = [];
     const calls = new PeerCalls(() => ({ cancel: () => undefined }));
     const socket = new Duplex({ read: () => undefined, write: () => undefined });
     const link = new PeerLink(Object.assign(socket, { setNoDelay: () => socket }) as unknown as Socket, {
@@ -200,10 +200,10 @@
         use(link);
       },
       kCall,
-      (end) => ends.push(end),
+      (end) => results.push(end),
     );
     socket.emit('close');
-    t.deepEqual(ends, [{ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 }]);
+    t.deepEqual(results, [{ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 }]);
   });
 
   itAlone('should lead to the target again once its daemon is back', (t) =>
@@ -221,17 +221,17 @@
 
   itAlone('should tell that a host is gone when another one answers at its address', (t) =>
     withFleet(async (fleet) => {
-      const heir = await fleet.add('h2', 'reads');
-      const host = await believer(fleet, heir.daemon.record.peers);
+      const successor = await fleet.add('h2', 'reads');
+      const host = await addHostWithKnownPeer(fleet, successor.daemon.record.peers);
       await fleet.until('only the two hosts to be known as ready', async () =>
         /name="hosts_ready"[^}]*} 2\n/.test(await fleet.metrics(host)),
       );
-      const placed = async (): Promise<boolean> => (await fleet.metrics(host)).includes('after_refusal="true"');
-      const before = await placed();
+      const hasPlacementAfterRefusal = async (): Promise<boolean> => (await fleet.metrics(host)).includes('after_refusal="true"');
+      const before = await hasPlacementAfterRefusal();
       for (let i = 0; i < 5; i++) {
         t.is((await fleet.call(host, '/a/x')).status, 200);
       }
-      t.is(await placed(), before);
+      t.is(await hasPlacementAfterRefusal(), before);
     }),
   );
 });
--- a/tests/mesh/messageParser.spec.ts
+++ b/tests/mesh/messageParser.spec.ts
@@ -38,14 +38,14 @@
   return parsed;
 }
 
-const kTwo =
+const kTwoRequests =
   'POST /a/b?c=d HTTP/1.1\r\nHost: app.example\r\nEmpty:\r\nX-Own: 1, 2\r\nTransfer-Encoding: chunked\r\n\r\n' +
   '5\r\nfirst\r\n7\r\n second\r\n0\r\nLate: no header\r\n\r\n' +
   'PUT /next HTTP/1.1\r\nHost: app.example\r\nContent-Length: 3\r\nConnection: close\r\n\r\nend';
 
 describe('the parser of a connection', () => {
   it('should find the same requests wherever their bytes are split', (t) => {
-    const whole = parse('request', [kTwo]);
+    const whole = parse('request', [kTwoRequests]);
     t.is(whole.fault, undefined);
     t.deepEqual(
       whole.messages.map(({ head, body, ended }) => ({ method: head.method, target: head.target, keepAlive: head.keepAlive, body, ended })),
@@ -55,10 +55,10 @@
       ],
     );
     t.deepEqual(whole.messages[0]?.head.headers, ['Host', 'app.example', 'Empty', '', 'X-Own', '1, 2', 'Transfer-Encoding', 'chunked']);
-    for (let at = 1; at < kTwo.length; at++) {
-      t.deepEqual(parse('request', [kTwo.slice(0, at), kTwo.slice(at)]), whole);
+    for (let at = 1; at < kTwoRequests.length; at++) {
+      t.deepEqual(parse('request', [kTwoRequests.slice(0, at), kTwoRequests.slice(at)]), whole);
     }
-    t.deepEqual(parse('request', kTwo.split('')), whole);
+    t.deepEqual(parse('request', kTwoRequests.split('')), whole);
   });
 
   const malformed = [
--- a/tests/mesh/peerLink.spec.ts
+++ b/tests/mesh/peerLink.spec.ts
@@ -81,14 +81,14 @@
   itAlone('should still be suspected within a second, and lost within two, after it has answered many probes', (t) => {
     withLink((link, socket, checkUntil, events) => {
       link.pendingCalls = 1;
-      const kSoundMs = 5_000;
-      for (let now = 200; now <= kSoundMs; now += 200) {
+      const kResponsiveMs = 5_000;
+      for (let now = 200; now <= kResponsiveMs; now += 200) {
         checkUntil(now);
         socket.emit('data', new MessageWriter().encode({ type: 'pong' }));
       }
-      checkUntil(kSoundMs + 1_000);
+      checkUntil(kResponsiveMs + 1_000);
       t.deepEqual(events, ['silent']);
-      checkUntil(kSoundMs + 2_000);
+      checkUntil(kResponsiveMs + 2_000);
       t.deepEqual(events, ['silent', 'closed: no response to a ping']);
     });
   });
--- a/tests/mesh/rawCaller.ts
+++ b/tests/mesh/rawCaller.ts
@@ -8,8 +8,8 @@
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
 
-const kWaitMs = 8_000;
-const kLookMs = 5;
+const kTimeoutMs = 8_000;
+const kPollMs = 5;
 
 /** One connection. */
 export class RawCaller {
@@ -62,15 +62,15 @@
   }
 
   /** Leaves at once. */
-  leave(): void {
+  disconnect(): void {
     this._socket.destroy();
   }
 
   /** Waits until what came fits a pattern, or the connection ended. */
   async until(pattern: RegExp): Promise<string> {
-    const end = performance.now() + kWaitMs;
+    const end = performance.now() + kTimeoutMs;
     while (!pattern.test(this._text) && !this._closed && performance.now() < end) {
-      await new Promise((resolve) => setTimeout(resolve, kLookMs));
+      await new Promise((resolve) => setTimeout(resolve, kPollMs));
     }
     return this._text;
   }
--- a/tests/mesh/workspaces.spec.ts
+++ b/tests/mesh/workspaces.spec.ts
@@ -81,7 +81,7 @@
         const caller = await RawCaller.open(host.calls);
         caller.write(requestText('/a/z', 'r1', { headers: ['Authorization: Bearer key-of-crew', `Authorization: Bearer ${second}`] }));
         t.regex(await caller.until(/\r\n\r\n/), new RegExp(`^HTTP/1\\.1 ${status} `));
-        caller.leave();
+        caller.disconnect();
       }
     }),
   );
