--- a/tests/mesh/answers.spec.ts
+++ b/tests/mesh/answers.spec.ts
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Whole answers to the right caller, "not run" only when true, and nothing twice that must not be. */
+/** Callers receive complete responses to their own requests, "not run" only if that is true, and no unsafe retries. */
 
 import { describe, itAlone } from '../support/describe.js';
 import type { ResponseMode } from '../platform/upstreamStandin.js';
 import { withFleet } from './meshFleet.js';
 
-describe('answers of a target', () => {
+describe('responses of a target', () => {
   const badResponses: { mode: ResponseMode; status: number }[] = [
     { mode: 'unsealed', status: 502 },
     { mode: 'foreign_id', status: 502 },
@@ -23,7 +23,7 @@
     { mode: 'shedding', status: 503 },
   ];
   for (const { mode, status } of badResponses) {
-    itAlone(`should give a request that is not idempotent ${status} when the answer is ${mode}, and run it once`, (t) =>
+    itAlone(`should respond ${status} to a non-idempotent request when the response is ${mode}, and run it once`, (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/once/', service: 'holds', idempotent: false, maxAttempts: 3 }]);
         const host = await fleet.add('h1', 'holds');
@@ -39,7 +39,7 @@
     );
   }
 
-  itAlone('should never give a caller the surplus answer to somebody else', (t) =>
+  itAlone('should not deliver a surplus response to another caller', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -54,13 +54,13 @@
     }),
   );
 
-  itAlone('should send an idempotent request on to another target when one loses the answer', (t) =>
+  itAlone('should retry an idempotent request on another target when the response is lost', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', maxAttempts: 2 }]);
       const first = await fleet.add('h1', 'reads');
       const second = await fleet.add('h2', 'reads', { zone: 'z2' });
       await fleet.untilServing('/a/warm');
-      // The budget for repeats grows with first arrivals.
+      // The retry budget grows with the number of first attempts.
       await Promise.all(Array.from({ length: 200 }, () => fleet.call(second, '/a/x')));
       first.target.mode = 'dropped';
       const answer = await fleet.call(first, '/a/x');
@@ -70,8 +70,8 @@
   );
 });
 
-describe('requests on their way', () => {
-  itAlone('should reach a target on another host unchanged, with caller, instance and time left', (t) =>
+describe('forwarded requests', () => {
+  itAlone('should reach a target on another host unchanged, with caller, instance and remaining time', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/once/', service: 'holds', idempotent: false }]);
       const near = await fleet.add('h1', 'reads');
@@ -89,7 +89,7 @@
     }),
   );
 
-  itAlone('should be answered 404 without a route, 503 without a configuration and 413 over the limit', (t) =>
+  itAlone('should get 404 without a route, 503 without a configuration and 413 for a body over the limit', (t) =>
     withFleet(async (fleet) => {
       const host = await fleet.add('h1', 'reads');
       t.is((await fleet.call(host, '/a/x')).status, 503);
@@ -102,7 +102,7 @@
     }),
   );
 
-  itAlone('should be answered 504 at the time limit of the route, and cancelled down to the target', (t) =>
+  itAlone('should get 504 at the timeout of the route, and be aborted on the target', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 300 }]);
       const near = await fleet.add('h1', 'other');
@@ -110,11 +110,11 @@
       await fleet.untilServing('/a/warm');
       far.target.workMs = 1_500;
       t.is((await fleet.call(near, '/a/x', { remainingMs: 5_000 })).status, 504);
-      await fleet.until('the target to see the caller leave', () => far.target.abortedRequests === 1);
+      await fleet.until('the target to see the request aborted', () => far.target.abortedRequests === 1);
     }),
   );
 
-  itAlone('should be given to a new target within one version, and follow its split', (t) =>
+  itAlone('should be sent to a new service after a configuration change, and follow its traffic split', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'old' }]);
       const old = await fleet.add('h1', 'old');
@@ -129,7 +129,7 @@
           ],
         },
       ]);
-      await fleet.until('the new service to get requests', async () => {
+      await fleet.until('the new service to receive requests', async () => {
         await fleet.call(old, '/a/x');
         return next.target.seen.length > 0;
       });
--- a/tests/mesh/bundle.spec.ts
+++ b/tests/mesh/bundle.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The daemon as it is built for the platform: one bundle, started from its compiled code. */
+/** The daemon as deployed: one bundle, started with its compiled code cache. */
 
 import { type ChildProcess, spawn, spawnSync } from 'node:child_process';
 import { once } from 'node:events';
@@ -18,7 +18,7 @@
 const kRoot = fileURLToPath(new URL('../../..', import.meta.url));
 
 describe('the bundled daemon', () => {
-  itAlone('should start from its settings, serve a call from another host also while they change, and stop when told to', async (t) => {
+  itAlone('should start with its settings, serve calls from another host while they are reloaded, and stop on SIGTERM', async (t) => {
     const built = spawnSync(process.execPath, ['utils/bundle.mjs'], { cwd: kRoot, encoding: 'utf8' });
     t.is(built.status, 0, built.stderr);
     const folder = mkdtempSync(join(tmpdir(), 'gentiandrum-'));
@@ -64,7 +64,7 @@
       }
       child.kill('SIGTERM');
       t.deepEqual(await exited, [0, null]);
-      t.is(errors, '', 'the compiled code beside the bundle should fit the flags of the deploy file');
+      t.is(errors, '', 'the compiled code cache of the bundle should match the flags in the deploy file');
       target.close();
     } finally {
       child?.kill('SIGKILL');
--- a/tests/mesh/callers.spec.ts
+++ b/tests/mesh/callers.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Callers as they come: pipelines, chunks, long and late bodies, early leavers, and bytes that are no request. */
+/** Requests of callers: pipelining, chunked, long and late bodies, early disconnects, and malformed input. */
 
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
 import { describe, itAlone } from '../support/describe.js';
@@ -24,13 +24,13 @@
 }
 
 describe('callers', () => {
-  itAlone('should get the answers of a pipeline in the order of its requests', (t) =>
+  itAlone('should receive the responses to pipelined requests in request order', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
       host.target.workMs = 120;
       caller.write(requestText('/a/1', 'p1'));
-      await fleet.until('the first to run', () => host.target.running === 1);
+      await fleet.until('the first request to run', () => host.target.running === 1);
       host.target.workMs = 1;
       caller.write(requestText('/a/2', 'p2') + requestText('/a/3', 'p3'));
       const text = await caller.until(/did p3/);
@@ -39,7 +39,7 @@
     }),
   );
 
-  itAlone('should have chunked bodies passed on whole, and their connection kept', (t) =>
+  itAlone('should have chunked bodies forwarded completely, and their connection kept open', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -54,7 +54,7 @@
     }),
   );
 
-  itAlone('should have long bodies passed on whole, also when the target answers before it has read them', (t) =>
+  itAlone('should have long bodies forwarded completely, also when the target responds before it has read them', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const body = 'x'.repeat(700_000);
@@ -71,24 +71,24 @@
     }),
   );
 
-  itAlone('should get their answer whole when they read slowly', (t) =>
+  itAlone('should receive the complete response when they read slowly', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       host.target.padding = 900_000;
       const caller = await RawCaller.open(host.calls);
       caller.pause();
       caller.write(requestText('/a/1', 's1'));
-      await fleet.until('the target to have answered', () => host.target.seen.at(-1)?.id === 's1' && host.target.running === 0);
+      await fleet.until('the target to have responded', () => host.target.seen.at(-1)?.id === 's1' && host.target.running === 0);
       await new Promise((resolve) => setTimeout(resolve, 200));
       caller.resume();
       const text = await caller.until(/did s1x*$/);
-      await fleet.until('all bytes', () => caller.text.length > 900_000);
+      await fleet.until('all bytes to be received', () => caller.text.length > 900_000);
       t.regex(text, /^HTTP\/1.1 200/);
       caller.disconnect();
     }),
   );
 
-  itAlone('should be told 408 when their body does not come, and 431 for a head over the limit', (t) =>
+  itAlone('should get 408 when the body does not arrive, and 431 for a head over the limit', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet, { max_header_bytes: 2_000 });
       const late = await RawCaller.open(host.calls);
@@ -102,7 +102,7 @@
     }),
   );
 
-  itAlone('should not smuggle a request inside another, nor have bytes after one taken for more', (t) =>
+  itAlone('should not be able to smuggle a request inside another one, or behind it', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const before = host.target.seen.length;
@@ -119,7 +119,7 @@
     }),
   );
 
-  itAlone('should free their target when they leave, unless what runs must not be repeated', (t) =>
+  itAlone('should have an idempotent request aborted on the target when they disconnect, and no other', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       host.target.workMs = 400;
@@ -137,7 +137,7 @@
     }),
   );
 
-  itAlone('should have all of a pipeline answered when its last request asks for the end of the connection', (t) =>
+  itAlone('should receive all responses to pipelined requests when the last one requests to close the connection', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -148,7 +148,7 @@
     }),
   );
 
-  itAlone('should be told to go on before a body, and get no body in answer to HEAD', (t) =>
+  itAlone('should receive 100 Continue before a body, and no body in the response to HEAD', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -164,7 +164,7 @@
     }),
   );
 
-  itAlone('should have an idle connection ended after the limit, and a head that stalls answered 408', (t) =>
+  itAlone('should have an idle connection closed after the timeout, and get 408 for a stalled head', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet, { idle_timeout_ms: 300, header_timeout_ms: 300 });
       const idle = await RawCaller.open(host.calls);
@@ -177,9 +177,9 @@
     }),
   );
 
-  itAlone('should have their long pipelines and slow reading held within bounds, and answered to the end', (t) =>
+  itAlone('should be limited in pipelined requests and unread responses, and receive all responses', (t) =>
     withFleet(async (fleet) => {
-      // Time limits far away, and slots for all that are under way at once: however slow the machine is, all must be served.
+      // Long timeouts and a slot for every request in flight, so that all are served even on a slow machine.
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 60_000 }]);
       const host = await fleet.add('h1', 'reads', { target: new UpstreamStandin('i-h1', 'reads', 64) });
       await fleet.untilServing('/a/warm');
@@ -192,7 +192,7 @@
       t.true(host.target.seen.length < ids.length);
       caller.resume();
       await fleet.until(
-        'the last answer',
+        'the last response',
         () => caller.text.length > ids.length * host.target.padding && caller.text.includes('did q79.x'),
       );
       t.is(caller.text.match(/HTTP\/1.1 200 OK/g)?.length, ids.length);
@@ -204,14 +204,14 @@
     }),
   );
 
-  itAlone('should have the time in which their body came counted as waited', (t) =>
+  itAlone('should have the time for reading the body counted against the deadline', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/once/', service: 'reads', idempotent: false, timeoutMs: 60_000 }]);
       const host = await fleet.add('h1', 'reads');
       await fleet.untilServing('/once/warm');
       const caller = await RawCaller.open(host.calls);
       caller.write(requestText('/once/1', 'w1', { method: 'POST', headers: ['Content-Length: 4'], body: 'bo' }).replace('3000', '50000'));
-      // Longer than the time that is to count by what a busy machine may need to read the head.
+      // Longer than the difference checked below, because a busy machine may read the head late.
       await new Promise((resolve) => setTimeout(resolve, 1_000));
       caller.write('dy');
       await caller.until(/did w1/);
--- a/tests/mesh/links.spec.ts
+++ b/tests/mesh/links.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Links to other daemons that are silent, refuse, break, or talk nonsense. */
+/** Links to peers that are unresponsive, refuse connections, disconnect, or send malformed messages. */
 
 import { once } from 'node:events';
 import { connect, createServer, type Server, type Socket } from 'node:net';
@@ -34,7 +34,7 @@
 };
 const kTopic = 'keyed.gentiandrum-hosts';
 
-/** Something that listens where another daemon should. */
+/** Runs `body` with the address of a fake peer daemon. */
 async function withFakePeer(onSocket: (socket: Socket) => void, body: (address: string) => Promise<void>): Promise<void> {
   const sockets = new Set<Socket>();
   const server: Server = createServer((socket) => {
@@ -52,7 +52,7 @@
   }
 }
 
-/** A daemon that believes in a target on a host which is reached at `peers`. */
+/** Adds a daemon that knows a ready target on a host whose daemon listens at `peers`. */
 async function addHostWithKnownPeer(fleet: MeshFleet, peers: string): Promise<FleetHost> {
   fleet.configure([
     { prefix: '/a/', service: 'reads' },
@@ -76,7 +76,7 @@
 }
 
 describe('a link to another daemon', () => {
-  itAlone('should be given up when it stays silent, and the call answered 502: it may have run', (t) =>
+  itAlone('should be closed when the peer is unresponsive, and the call get 502 because it may have run', (t) =>
     withFleet((fleet) =>
       withFakePeer(
         () => undefined,
@@ -90,7 +90,7 @@
     ),
   );
 
-  itAlone('should answer 503 when it can not be opened: nothing ran', (t) =>
+  itAlone('should respond 503 when it cannot be opened, because nothing ran', (t) =>
     withFleet(async (fleet) => {
       const host = await addHostWithKnownPeer(fleet, '127.0.0.1:9');
       const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
@@ -99,7 +99,7 @@
     }),
   );
 
-  itAlone('should answer 502 when it breaks with a call on it, or brings bytes that are no message', (t) =>
+  itAlone('should respond 502 when it is lost with a call in flight, or receives a malformed message', (t) =>
     withFleet((fleet) =>
       withFakePeer(
         (socket) => {
@@ -118,11 +118,8 @@
     ),
   );
 
-  /**
-   * A daemon that stops as planned ends its links. A sender that had no processor time meanwhile, or was far away, has calls on them
-   * that nobody read; without a word on them each counted as "may have run", and its caller got 502 for a call that was never taken.
-   */
-  describe('with a daemon that stops', () => {
+  /** Guards against a 502 for a call that a daemon did not accept before its shutdown. */
+  describe('with a daemon that shuts down', () => {
     const sendGoodbye =
       (taken: (id: number) => number) =>
       (socket: Socket): void => {
@@ -137,7 +134,7 @@
         });
       };
 
-    itAlone('should answer 503 to a call that its last message does not count as taken', (t) =>
+    itAlone('should respond 503 to a call that its goodbye does not list as accepted', (t) =>
       withFleet((fleet) =>
         withFakePeer(
           sendGoodbye((id) => id - 1),
@@ -151,7 +148,7 @@
       ),
     );
 
-    itAlone('should answer 502 to a call that was taken and has no answer', (t) =>
+    itAlone('should respond 502 to a call that was accepted and has no response', (t) =>
       withFleet((fleet) =>
         withFakePeer(
           sendGoodbye((id) => id),
@@ -163,7 +160,7 @@
       ),
     );
 
-    itAlone('should bring the count of calls that were taken as its last message', (t) =>
+    itAlone('should send the last accepted call id in its last message', (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/a/', service: 'reads' }]);
         const near = await fleet.add('h1', 'other');
@@ -184,7 +181,7 @@
     );
   });
 
-  itAlone('should tell that a call was not run which was not yet written when the link ended', (t) => {
+  itAlone('should report a call as not run that was not yet written when the link was lost', (t) => {
     const results: CallResult[] = [];
     const calls = new PeerCalls(() => ({ cancel: () => undefined }));
     const socket = new Duplex({ read: () => undefined, write: () => undefined });
@@ -206,7 +203,7 @@
     t.deepEqual(results, [{ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 }]);
   });
 
-  itAlone('should lead to the target again once its daemon is back', (t) =>
+  itAlone('should be used again after a restart of the peer', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const near = await fleet.add('h1', 'other');
@@ -219,7 +216,7 @@
     }),
   );
 
-  itAlone('should tell that a host is gone when another one answers at its address', (t) =>
+  itAlone('should report a host as removed when another one responds at its address', (t) =>
     withFleet(async (fleet) => {
       const successor = await fleet.add('h2', 'reads');
       const host = await addHostWithKnownPeer(fleet, successor.daemon.record.peers);
--- a/tests/mesh/messageParser.spec.ts
+++ b/tests/mesh/messageParser.spec.ts
@@ -43,8 +43,8 @@
   '5\r\nfirst\r\n7\r\n second\r\n0\r\nLate: no header\r\n\r\n' +
   'PUT /next HTTP/1.1\r\nHost: app.example\r\nContent-Length: 3\r\nConnection: close\r\n\r\nend';
 
-describe('the parser of a connection', () => {
-  it('should find the same requests wherever their bytes are split', (t) => {
+describe('the HTTP message parser', () => {
+  it('should parse the same requests regardless of chunk boundaries', (t) => {
     const whole = parse('request', [kTwoRequests]);
     t.is(whole.fault, undefined);
     t.deepEqual(
@@ -70,21 +70,21 @@
     '\u0001\u0002 no request\r\n\r\n',
   ];
   for (const text of malformed) {
-    it(`should take no request from ${JSON.stringify(text)}`, (t) => {
+    it(`should reject ${JSON.stringify(text)}`, (t) => {
       const { messages, fault } = parse('request', [text]);
       t.is(fault, 'malformed');
       t.false(messages.some(({ ended }) => ended));
     });
   }
 
-  it('should take no answer whose chunks are broken for whole', (t) => {
+  it('should not complete a response with malformed chunks', (t) => {
     const head = 'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n';
     for (const body of ['5\r\nfirstXX\r\n0\r\n\r\n', 'g\r\nfirst\r\n0\r\n\r\n', '5\r\nfirst\r\n']) {
       t.false(parse('answer', [head + body]).messages.some(({ ended }) => ended));
     }
   });
 
-  it('should tell interim answers from final ones', (t) => {
+  it('should distinguish interim responses from final ones', (t) => {
     const { messages } = parse('answer', ['HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok']);
     t.deepEqual(
       messages.map(({ head, body }) => [head.status, body]),
@@ -95,7 +95,7 @@
     );
   });
 
-  it('should stop at a head over the limit', (t) => {
+  it('should reject a head over the limit', (t) => {
     const { messages, fault } = parse('request', [`GET /a HTTP/1.1\r\nHost: a\r\nLong: ${'x'.repeat(500)}\r\n\r\n`], 400);
     t.is(fault, 'head_too_long');
     t.is(messages.length, 0);
--- a/tests/mesh/peerLink.spec.ts
+++ b/tests/mesh/peerLink.spec.ts
@@ -53,8 +53,8 @@
   }
 }
 
-describe('a link whose other end is silent', () => {
-  itAlone('should be suspected within half a second when an answer is owed, and lost later', (t) => {
+describe('a link to an unresponsive peer', () => {
+  itAlone('should be reported as unresponsive within half a second when a call is pending, and be closed later', (t) => {
     withLink((link, _socket, checkUntil, events) => {
       link.pendingCalls = 1;
       checkUntil(200);
@@ -68,7 +68,7 @@
     });
   });
 
-  itAlone('should be trusted again when it is heard of', (t) => {
+  itAlone('should be reported as responsive when a message is received', (t) => {
     withLink((link, socket, checkUntil, events) => {
       link.pendingCalls = 1;
       checkUntil(500);
@@ -78,7 +78,7 @@
     });
   });
 
-  itAlone('should still be suspected within a second, and lost within two, after it has answered many probes', (t) => {
+  itAlone('should be reported as unresponsive within a second, and closed within two, after many answered pings', (t) => {
     withLink((link, socket, checkUntil, events) => {
       link.pendingCalls = 1;
       const kResponsiveMs = 5_000;
@@ -93,7 +93,7 @@
     });
   });
 
-  itAlone('should be probed less often while it answers', (t) => {
+  itAlone('should be pinged less often while it responds', (t) => {
     withLink((link, socket, checkUntil) => {
       let probes = 0;
       link.send = () => {
@@ -107,12 +107,12 @@
           socket.emit('data', new MessageWriter().encode({ type: 'pong' }));
         }
       }
-      // 30 at the interval for a link of which nothing is known.
+      // 30 without backoff.
       t.true(probes >= 7 && probes <= 12, String(probes));
     });
   });
 
-  itAlone('should not be judged by a time in which this process itself stood still', (t) => {
+  itAlone('should ignore the time in which this process was stalled', (t) => {
     withLink((link, _socket, checkUntil, events, time) => {
       link.pendingCalls = 1;
       checkUntil(300);
@@ -122,7 +122,7 @@
     });
   });
 
-  itAlone('should be left alone while nothing is owed, and asked now and then', (t) => {
+  itAlone('should be pinged at long intervals while no call is pending', (t) => {
     withLink((_link, _socket, checkUntil, events) => {
       checkUntil(2_000);
       t.deepEqual(events, []);
--- a/tests/mesh/rawCaller.ts
+++ b/tests/mesh/rawCaller.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** A caller that writes bytes of its own making to a daemon, and reads what comes back. */
+/** A caller that writes raw bytes to a daemon and records what it receives. */
 
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
@@ -11,7 +11,6 @@
 const kTimeoutMs = 8_000;
 const kPollMs = 5;
 
-/** One connection. */
 export class RawCaller {
   private _text = '';
   private _closed = false;
@@ -29,7 +28,6 @@
     });
   }
 
-  /** Connects to an address. */
   static async open(address: string): Promise<RawCaller> {
     const [host = '', port = ''] = address.split(':');
     const socket = connect({ host, port: Number(port) });
@@ -37,22 +35,20 @@
     return new RawCaller(socket);
   }
 
-  /** Everything that came so far. */
+  /** All text received so far. */
   get text(): string {
     return this._text;
   }
 
-  /** Whether the connection has ended. */
   get closed(): boolean {
     return this._closed;
   }
 
-  /** Writes text as it is. */
   write(text: string): void {
     this._socket.write(text);
   }
 
-  /** Stops and starts reading. */
+  /** Stops reading until {@link resume}. */
   pause(): void {
     this._socket.pause();
   }
@@ -61,12 +57,12 @@
     this._socket.resume();
   }
 
-  /** Leaves at once. */
+  /** Destroys the connection. */
   disconnect(): void {
     this._socket.destroy();
   }
 
-  /** Waits until what came fits a pattern, or the connection ended. */
+  /** Waits until the received text matches a pattern, the connection is closed, or the wait times out. */
   async until(pattern: RegExp): Promise<string> {
     const end = performance.now() + kTimeoutMs;
     while (!pattern.test(this._text) && !this._closed && performance.now() < end) {
@@ -75,13 +71,13 @@
     return this._text;
   }
 
-  /** Waits until the connection ended. */
+  /** Waits until the connection is closed. */
   async untilClosed(): Promise<string> {
     return this.until(/(?!)/);
   }
 }
 
-/** Text of a request with the headers that daemons look for. */
+/** Returns the text of a request with an attempt id and a deadline of 3 s. */
 export function requestText(path: string, id: string, options: { method?: string; headers?: string[]; body?: string } = {}): string {
   const { method = 'GET', headers = [], body = '' } = options;
   const lines = [`${method} ${path} HTTP/1.1`, 'Host: app.example', `X-Attempt-Id: ${id}`, 'X-Deadline-Remaining: 3000', ...headers];
--- a/tests/mesh/sharedNames.spec.ts
+++ b/tests/mesh/sharedNames.spec.ts
@@ -8,7 +8,7 @@
 import { describe, it } from '../support/describe.js';
 
 describe('names shared by a link', () => {
-  it('should send a text as it is at first, introduce it when it comes again, and use its number from then on', (t) => {
+  it('should send a text in plain at first, define its number the second time, and send the number from then on', (t) => {
     const writer = new NameWriter();
     t.is(writer.write('route'), 'route');
     t.deepEqual(writer.write('route'), ['route']);
@@ -16,7 +16,7 @@
     t.is(writer.write('other'), 'other');
   });
 
-  it('should give back every text, however many there are and in whatever order they come', (t) => {
+  it('should decode every text, regardless of their number and order', (t) => {
     const texts = fc.array(fc.oneof(fc.nat(1_500).map(String), fc.string()), { minLength: 500, maxLength: 6_000 });
     fc.assert(
       fc.property(texts, (sent) => {
@@ -30,7 +30,7 @@
     );
   });
 
-  it('should begin anew when all names are used up', (t) => {
+  it('should clear the dictionary when it is full', (t) => {
     const writer = new NameWriter();
     const reader = new NameReader();
     for (let i = 0; i < 5_000; i++) {
@@ -41,7 +41,7 @@
     }
   });
 
-  it('should refuse a number that was not introduced', (t) => {
+  it('should reject a number that is not defined', (t) => {
     t.throws(() => new NameReader().read(3), { message: 'expected a name that is defined on this link, got 3' });
   });
 });
@@ -71,7 +71,7 @@
     },
   };
 
-  it('should give back a call each time that it is sent', (t) => {
+  it('should decode a call each time that it is sent', (t) => {
     const writer = new MessageWriter();
     const reader = new MessageReader();
     for (let i = 0; i < 4; i++) {
@@ -79,7 +79,7 @@
     }
   });
 
-  it('should give back whose request a call is, and what is said of proofs and tokens', (t) => {
+  it('should decode the workspace of a call, and messages about proofs and tokens', (t) => {
     const workspace = { name: 'crew', keyHash: 0xfffffffe, version: 12, validMs: 900 };
     const messages: PeerMessage[] = [
       { ...call, call: { ...call.call, rank: 2, workspace } },
@@ -102,14 +102,14 @@
     }
   });
 
-  it('should need less than half of the bytes once the names are known', (t) => {
+  it('should need less than half of the bytes once all names are defined', (t) => {
     const writer = new MessageWriter();
     const first = writer.encode(call).length;
     writer.encode(call);
     t.true(writer.encode(call).length < first / 2);
   });
 
-  it('should cut messages out of a stream wherever it was split', (t) => {
+  it('should decode messages regardless of chunk boundaries', (t) => {
     const writer = new MessageWriter();
     const bytes = Buffer.concat([writer.encode(call), writer.encode(call), writer.encode(call)]);
     fc.assert(
