--- a/packages/mesh/src/app/calls/targetGate.ts
+++ b/packages/mesh/src/app/calls/targetGate.ts
@@ -32,7 +32,7 @@
   type TargetRecord,
 } from '@gentiandrum/core';
 import type { CallWorkspace, PeerCall } from '../../client/callCodec.js';
-import { type Run, type RunEnd, TargetClient } from '../../client/targetClient.js';
+import { type Run, type RunResult, TargetClient } from '../../client/targetClient.js';
 import type { HeaderNames } from '../../ports.js';
 import type { EventLog } from '../eventLog.js';
 import { identityOf } from './requestIdentity.js';
@@ -222,7 +222,7 @@
     this._deps.chains.step();
     this._client?.check();
     if (this._reach.takeProbe(monotonicMs())) {
-      this._client?.probe();
+      this._client?.tryConnect();
     }
   }
 
@@ -363,7 +363,7 @@
     }
     const reach = this._reach;
     this._client ??= new TargetClient(address, instance, this._connections, this._deps.names, {
-      onReach: (evidence) => {
+      onReachability: (evidence) => {
         this._handleReach(reach, evidence);
       },
       onCrash: (calls) => {
@@ -439,7 +439,7 @@
     });
   }
 
-  private _handleResult(offered: OfferedCall, { end, answered }: RunEnd): void {
+  private _handleResult(offered: OfferedCall, { result: end, responded: answered }: RunResult): void {
     this._running.delete(offered.call);
     // A failed call may not have reached the work that crashes the target, so it does not clear the suspicion.
     if (answered && end.kind === 'answered' && end.answer.status < 500) {
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -23,7 +23,7 @@
 import type { Platform } from '../ports.js';
 import { CallServer, type CallServerDeps } from '../server/callServer.js';
 import { serveSuspects } from '../server/suspectControl.js';
-import { HostServer, type HostReply, type HostRequest } from '../server/hostServer.js';
+import { HostServer, type HostResponse, type HostRequest } from '../server/hostServer.js';
 import { splitAddress } from './addresses.js';
 import { ConfigHolder } from './log/configHolder.js';
 import { Deadlines } from './calls/deadlines.js';
@@ -224,7 +224,7 @@
     this._calls.close();
     await waitUntil(monotonicMs() + kLingerMs, latest, () => this._calls.inFlight + this._gate.pending === 0);
     await Promise.race([erased, pause(kStopPollMs)]);
-    await this._network.leave();
+    await this._network.shutDown();
     this._events.notable('stop', 'Stopped.', { calls: this._calls.inFlight, atGate: this._gate.pending });
   }
 
@@ -357,10 +357,10 @@
         this._suspects.mergeFromPeer(suspects);
       },
       suspects: () => this._suspects.snapshot,
-      onTakenOver: (host) => {
+      onAddressReused: (host) => {
         this._directory.presumeGone(host);
       },
-      onReach: (host, reached) => {
+      onReachabilityChange: (host, reached) => {
         this._setReachable(host, reached);
       },
       hello: () => ({
@@ -424,11 +424,11 @@
     return zone === this._settings.zone ? 'own_zone' : 'other_zone';
   }
 
-  private async _serveMetrics(): Promise<HostReply> {
+  private async _serveMetrics(): Promise<HostResponse> {
     return { status: 200, contentType: 'text/plain; version=0.0.4', body: await this._metrics.text() };
   }
 
-  private _serveReady(req: HostRequest): HostReply {
+  private _serveReady(req: HostRequest): HostResponse {
     if (req.path !== this._platform.dialect.readyPath) {
       return { status: 404 };
     }
@@ -436,7 +436,7 @@
   }
 
   /** Responds to a draining target once its state is durable, or after a timeout, so that the acknowledged state survives a crash. */
-  private async _serveAnnouncement({ method, path, body }: HostRequest): Promise<HostReply> {
+  private async _serveAnnouncement({ method, path, body }: HostRequest): Promise<HostResponse> {
     const announcement = this._platform.dialect.readAnnouncement(method, path, body);
     if (!announcement) {
       this._events.warn('target', 'Rejected a request: expected an announcement.', { method, path });
--- a/packages/mesh/src/app/workspaces/quotaService.ts
+++ b/packages/mesh/src/app/workspaces/quotaService.ts
@@ -109,7 +109,7 @@
 
   /** Response to the token request of another daemon. */
   replyTo(id: number, workspace: string): PeerMessage {
-    return { type: 'token', id, workspace, end: this._grant(workspace) };
+    return { type: 'token', id, workspace, result: this._grant(workspace) };
   }
 
   /** Handles the response of an owner; returns the token of a grant that arrives after the timeout. */
--- a/packages/mesh/src/app/workspaces/workspaces.ts
+++ b/packages/mesh/src/app/workspaces/workspaces.ts
@@ -115,7 +115,7 @@
         link.send(this.quotas.replyTo(message.id, message.workspace));
         return;
       case 'token':
-        this.quotas.receiveGrant(link.host, message.workspace, message.id, message.end);
+        this.quotas.receiveGrant(link.host, message.workspace, message.id, message.result);
         return;
       case 'tokens_back':
         this.quotas.acceptReturned(message.tokens);
--- a/packages/mesh/src/client/peerDialer.ts
+++ b/packages/mesh/src/client/peerDialer.ts
@@ -3,84 +3,83 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Opens connections to other daemons: one try at a time for each host, with growing pauses after failures. */
+/** Opens connections to other daemons: one attempt at a time for each host, with exponential backoff after failures. */
 
 import { connect, type Socket } from 'node:net';
 import type { TargetRecord } from '@gentiandrum/core';
 import { splitAddress } from '../app/addresses.js';
 import type { PeerLink } from './peerLink.js';
 
-/** Time for a connection to another host, in milliseconds: far above a round trip within a region. */
+/** Timeout of a connection attempt, in milliseconds: far above a round trip within a region. */
 const kConnectMs = 700;
-/** Pause before a lost link is opened again, in milliseconds, at first and at most. */
-const kRedialMs = 100;
+/** Initial and longest delay between connection attempts, in milliseconds. */
+const kInitialRedialMs = 100;
 const kMaxRedialMs = 1_600;
 
-/** Called with the link once it is open, or with nothing when it could not be opened. */
-export type LinkUse = (link: PeerLink | undefined) => void;
+/** Called with the open link, or with undefined when it could not be opened. */
+export type LinkCallback = (link: PeerLink | undefined) => void;
 
-/** What the dialer tells its owner. */
 export interface PeerDialerEvents {
-  /** A connection to a host was opened; returns the link over it. */
+  /** A connection to a host was established; returns the link over it. */
   onOpen(host: string, socket: Socket): PeerLink;
-  /** A host could not be reached; returns a link to it that was opened from the other end meanwhile. */
+  /** The attempt failed; returns the link that the peer has opened in the meantime, if any. */
   onFailed(host: string, reason: string): PeerLink | undefined;
 }
 
 interface Dial {
   socket: Socket | undefined;
   notBefore: number;
-  pauseMs: number;
-  /** Whether the last try failed; such a host is tried again until it answers, as calls avoid it meanwhile. */
+  retryDelayMs: number;
+  /** Whether the last attempt failed. Such a host is retried until it is reachable, because calls exclude it until then. */
   failed: boolean;
-  waiting: LinkUse[];
+  callbacks: LinkCallback[];
 }
 
-/** Dialer of one daemon. */
+/** Opens the outgoing connections of one daemon. */
 export class PeerDialer {
   private readonly _dials = new Map<string, Dial>();
 
   constructor(private readonly _events: PeerDialerEvents) {}
 
-  /** Whether the latest try to reach a host failed. */
+  /** Whether the last attempt to connect to a host failed. */
   failed(host: string): boolean {
     return this._dials.get(host)?.failed ?? false;
   }
 
-  /** Begins to open a link, unless that failed a moment ago. */
+  /** Starts to open a link unless an attempt is in progress or the retry delay has not elapsed. */
   dial(record: TargetRecord): void {
-    this._begin(record);
+    this._dialIfDue(record);
   }
 
-  /** The same, and calls back with the link. */
-  dialFor(record: TargetRecord, use: LinkUse): void {
-    const dial = this._begin(record);
+  /** Like {@link dial}, and passes the link to `callback`; passes undefined at once during the retry delay. */
+  requestLink(record: TargetRecord, callback: LinkCallback): void {
+    const dial = this._dialIfDue(record);
     if (dial.socket) {
-      dial.waiting.push(use);
+      dial.callbacks.push(callback);
     } else {
-      use(undefined);
+      callback(undefined);
     }
   }
 
-  /** Ends all tries. */
+  /** Aborts all attempts. */
   close(): void {
     for (const dial of this._dials.values()) {
       dial.socket?.destroy();
     }
   }
 
-  private _begin(record: TargetRecord): Dial {
-    const dial = this._of(record.host);
+  private _dialIfDue(record: TargetRecord): Dial {
+    const dial = this._dialOf(record.host);
     if (!dial.socket && performance.now() >= dial.notBefore) {
       this._connect(record, dial);
     }
     return dial;
   }
 
-  private _of(host: string): Dial {
+  private _dialOf(host: string): Dial {
     let dial = this._dials.get(host);
     if (!dial) {
-      dial = { socket: undefined, notBefore: 0, pauseMs: kRedialMs, failed: false, waiting: [] };
+      dial = { socket: undefined, notBefore: 0, retryDelayMs: kInitialRedialMs, failed: false, callbacks: [] };
       this._dials.set(host, dial);
     }
     return dial;
@@ -95,7 +94,7 @@
     const fail = (reason: string): void => {
       clearTimeout(timer);
       socket.destroy();
-      this._fail(record.host, dial, reason);
+      this._handleFailure(record.host, dial, reason);
     };
     const onError = (err: Error): void => {
       fail(err.message);
@@ -104,31 +103,31 @@
     socket.once('connect', () => {
       clearTimeout(timer);
       socket.off('error', onError);
-      this._open(record.host, dial, socket);
+      this._handleConnect(record.host, dial, socket);
     });
   }
 
-  private _open(host: string, dial: Dial, socket: Socket): void {
+  private _handleConnect(host: string, dial: Dial, socket: Socket): void {
     dial.socket = undefined;
-    dial.pauseMs = kRedialMs;
+    dial.retryDelayMs = kInitialRedialMs;
     dial.failed = false;
     const link = this._events.onOpen(host, socket);
-    dial.waiting.splice(0).forEach((use) => {
-      use(link);
+    dial.callbacks.splice(0).forEach((callback) => {
+      callback(link);
     });
   }
 
-  private _fail(host: string, dial: Dial, reason: string): void {
+  private _handleFailure(host: string, dial: Dial, reason: string): void {
     if (!dial.socket) {
       return;
     }
     dial.socket = undefined;
     dial.failed = true;
-    dial.notBefore = performance.now() + dial.pauseMs * (0.75 + Math.random() / 2);
-    dial.pauseMs = Math.min(kMaxRedialMs, dial.pauseMs * 2);
+    dial.notBefore = performance.now() + dial.retryDelayMs * (0.75 + Math.random() / 2);
+    dial.retryDelayMs = Math.min(kMaxRedialMs, dial.retryDelayMs * 2);
     const link = this._events.onFailed(host, reason);
-    dial.waiting.splice(0).forEach((use) => {
-      use(link);
+    dial.callbacks.splice(0).forEach((callback) => {
+      callback(link);
     });
   }
 }
--- a/packages/mesh/src/client/targetClient.ts
+++ b/packages/mesh/src/client/targetClient.ts
@@ -4,74 +4,71 @@
  */
 
 /**
- * Runs calls on the target of this host, and tells a whole answer of its own from everything else that may come on the
- * connection.
+ * Runs calls on the target of this host, and accepts only complete responses that come from the target itself.
  */
 
 import { type CallResult, monotonicMs, type ReachabilityEvidence } from '@gentiandrum/core';
 import { Deadlines, type Expirable } from '../app/calls/deadlines.js';
 import { HeaderReader } from '../http/headerReader.js';
-import { requestBytes } from '../http/messageText.js';
+import { encodeRequest } from '../http/messageText.js';
 import type { HeaderNames } from '../ports.js';
 import type { PeerCall } from './callCodec.js';
-import { CrashInquiry } from './crashInquiry.js';
-import { type ExchangeOutcome, type TargetAnswer, TargetConnection } from './targetConnection.js';
-
-/** Statuses that promise "not run"; a target that says so without proof isn't believed, nor passed on. */
-const kPromises: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Time that a target gets to end its work itself once the caller's time is over, in milliseconds. */
-const kOvertimeMs = 300;
-
-/** Reason of a run's end when its target ended while it ran. */
-const kTargetEnded = 'target ended';
-
-/** How a run ended. */
-export interface RunEnd {
-  end: CallResult;
-  /** Whether the target itself answered, so that its time tells something of it. */
-  answered: boolean;
+import { CrashDetector } from './crashDetector.js';
+import { type ExchangeOutcome, type TargetResponse, TargetConnection } from './targetConnection.js';
+
+/** Statuses that mean "not run". Without the target's proof such a response is not forwarded, and the call counts as lost. */
+const kNotRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Time after the deadline in which the target may still respond before the run is aborted, in milliseconds. */
+const kAbortGraceMs = 300;
+
+/** Reason of the result of a run that was in flight when the target crashed. */
+const kTargetCrashedReason = 'target ended';
+
+export interface RunResult {
+  result: CallResult;
+  /** Whether the target itself responded, so that the run's duration counts for its latency. */
+  responded: boolean;
 }
 
-/** What a client tells of its target. */
 export interface TargetEvents {
-  /** A connection came about, or did not. */
-  onReach(evidence: ReachabilityEvidence): void;
-  /** The target ended while these calls ran there; told before their ends are. */
+  /** A connection attempt succeeded or failed. */
+  onReachability(evidence: ReachabilityEvidence): void;
+  /** The target crashed while these calls were in flight. Called before their results are reported. */
   onCrash(calls: readonly PeerCall[]): void;
 }
 
-/** A run that has been started. */
+/** A run in flight. */
 export interface Run {
-  /** Breaks the run off; its end is still reported. */
+  /** Aborts the run; its result is still reported. */
   abort(): void;
 }
 
 /** Client of one incarnation of a target. */
 export class TargetClient {
   private readonly _headers: HeaderReader;
-  /** Connections without a request, the one that was used last at the end: few are used, and the others end by themselves. */
+  /** Idle connections, the most recently used one last. It is reused first, so that surplus connections time out. */
   private readonly _idle: TargetConnection[] = [];
   private readonly _connections = new Set<TargetConnection>();
   private readonly _runs = new Deadlines();
-  private readonly _inquiry: CrashInquiry;
+  private readonly _crashDetector: CrashDetector;
 
   constructor(
     private readonly _address: string,
     private readonly _instance: string,
-    /** Connections that the target accepts, as known now: the configuration may come after the first call. */
+    /** Returns the current connection limit; the configuration may arrive after the first call. */
     private readonly _maxConnections: () => number,
     private readonly _names: HeaderNames,
     private readonly _events: TargetEvents,
   ) {
     this._headers = new HeaderReader(_names);
-    this._inquiry = new CrashInquiry({
-      probe: () =>
+    this._crashDetector = new CrashDetector({
+      tryConnect: () =>
         this._open(() => {
-          this._inquiry.connected();
+          this._crashDetector.connected();
         }) !== undefined,
-      cutAll: () => {
+      disconnectAll: () => {
         for (const connection of this._connections) {
-          connection.cut('the target ended');
+          connection.closeAfterCrash('the target crashed');
         }
       },
       onCrash: (calls) => {
@@ -81,68 +78,67 @@
   }
 
   /** Sends a call to the target. */
-  run(call: PeerCall, remainingMs: number, done: (end: RunEnd) => void): Run {
+  run(call: PeerCall, remainingMs: number, done: (runResult: RunResult) => void): Run {
     const connection = this._takeIdle() ?? this._open();
     if (!connection) {
-      setImmediate(done, { end: { kind: 'not_run', reason: 'no_connection', retryAfterMs: 0 }, answered: false } satisfies RunEnd);
+      setImmediate(done, { result: { kind: 'not_run', reason: 'no_connection', retryAfterMs: 0 }, responded: false } satisfies RunResult);
       return { abort: () => undefined };
     }
-    const run = new TargetRun(connection, monotonicMs() + remainingMs + kOvertimeMs);
+    const run = new TargetRun(connection, monotonicMs() + remainingMs + kAbortGraceMs);
     this._runs.add(run);
-    connection.send(this._bytesOf(call, remainingMs), call.method === 'HEAD', (outcome) => {
+    connection.send(this._encodeRequest(call, remainingMs), call.method === 'HEAD', (outcome) => {
       this._runs.delete(run);
       run.ended = true;
-      if (outcome.kind === 'broken' && outcome.cut && !run.aborted) {
-        this._inquiry.add(call, (ended) => {
-          done(lostRun(ended ? kTargetEnded : `connection: ${outcome.reason}`));
+      if (outcome.kind === 'broken' && outcome.byTarget && !run.aborted) {
+        this._crashDetector.addInterrupted(call, (crashed) => {
+          done(lostRun(crashed ? kTargetCrashedReason : `connection: ${outcome.reason}`));
         });
         return;
       }
-      const end = this._judge(call, outcome, run.aborted);
+      const runResult = this._resultOf(call, outcome, run.aborted);
       if (outcome.kind === 'broken') {
-        this._inquiry.abandoned(call);
+        this._crashDetector.addAbandoned(call);
       }
-      if (end.end.kind === 'lost') {
-        // What is still to come on the connection can't be told apart.
-        connection.close('no whole answer');
+      if (runResult.result.kind === 'lost') {
+        // The rest of this response cannot be told from the next one on the connection.
+        connection.close('incomplete response');
       }
-      done(end);
+      done(runResult);
     });
     return run;
   }
 
-  /** Tries a connection, to find out whether the target takes any; it is used for the next call. */
-  probe(): void {
+  /** Opens a connection to find out whether the target accepts any, unless an idle one exists; the next call uses it. */
+  tryConnect(): void {
     if (this._idle.length === 0) {
       this._open();
     }
   }
 
-  /** Breaks off runs whose time is over, and ends connections that the target is about to close; called a few times a second. */
+  /** Aborts overdue runs, and closes connections that the target is about to close; called a few times a second. */
   check(): void {
     this._runs.check();
     const now = monotonicMs();
-    for (const connection of this._idle.filter((idle) => !idle.fresh(now))) {
+    for (const connection of this._idle.filter((idle) => !idle.isReusable(now))) {
       connection.close('idle');
     }
   }
 
-  /** Ends all connections. */
   close(): void {
     for (const connection of this._connections) {
-      connection.close('the target is another one', true);
+      connection.close('the target was replaced', true);
     }
-    this._inquiry.close();
+    this._crashDetector.close();
   }
 
-  private _takeReach(evidence: ReachabilityEvidence): void {
+  private _handleReachability(evidence: ReachabilityEvidence): void {
     if (evidence === 'refused') {
-      this._inquiry.refused();
+      this._crashDetector.refused();
     }
-    this._events.onReach(evidence);
+    this._events.onReachability(evidence);
   }
 
-  private _bytesOf(call: PeerCall, remainingMs: number): Buffer[] {
+  private _encodeRequest(call: PeerCall, remainingMs: number): Buffer[] {
     const names = this._names;
     const headers = [...call.headers];
     if (call.requestId !== '') {
@@ -153,13 +149,13 @@
     if (call.workspace) {
       headers.push(names.workspace, call.workspace.name);
     }
-    return requestBytes(call.method, call.path, headers, call.body);
+    return encodeRequest(call.method, call.path, headers, call.body);
   }
 
   private _takeIdle(): TargetConnection | undefined {
     const now = monotonicMs();
     for (let connection = this._idle.pop(); connection; connection = this._idle.pop()) {
-      if (connection.fresh(now)) {
+      if (connection.isReusable(now)) {
         return connection;
       }
       connection.close('idle');
@@ -172,11 +168,11 @@
       return undefined;
     }
     const connection = new TargetConnection(this._address, this._headers, {
-      onReach: (evidence) => {
+      onReachability: (evidence) => {
         if (evidence === 'connected') {
           onConnected();
         }
-        this._takeReach(evidence);
+        this._handleReachability(evidence);
       },
       onIdle: (idle) => {
         this._idle.push(idle);
@@ -193,47 +189,47 @@
     return connection;
   }
 
-  private _judge(call: PeerCall, outcome: ExchangeOutcome, aborted: boolean): RunEnd {
+  private _resultOf(call: PeerCall, outcome: ExchangeOutcome, aborted: boolean): RunResult {
     switch (outcome.kind) {
       case 'answered':
-        return this._judgeAnswer(call, outcome.answer);
+        return this._resultOfResponse(call, outcome.response);
       case 'unreachable':
-        return { end: { kind: 'not_run', reason: aborted ? 'cancelled' : 'unreachable', retryAfterMs: 0 }, answered: false };
+        return { result: { kind: 'not_run', reason: aborted ? 'cancelled' : 'unreachable', retryAfterMs: 0 }, responded: false };
       case 'broken':
         return lostRun(aborted ? 'aborted' : `connection: ${outcome.reason}`);
     }
   }
 
-  private _judgeAnswer(call: PeerCall, { status, headers, body }: TargetAnswer): RunEnd {
+  private _resultOfResponse(call: PeerCall, { status, headers, body }: TargetResponse): RunResult {
     if (headers.requestId !== call.requestId && call.requestId !== '') {
-      return { end: { kind: 'lost', reason: 'answer of another request' }, answered: false };
+      return { result: { kind: 'lost', reason: 'answer of another request' }, responded: false };
     }
     if (headers.notRun || status === 421) {
       const reason = status === 421 ? 'wrong_instance' : 'target_refused';
-      return { end: { kind: 'not_run', reason, retryAfterMs: 0 }, answered: true };
+      return { result: { kind: 'not_run', reason, retryAfterMs: 0 }, responded: true };
     }
-    // An answer that only ends with its connection can't be told from one that was cut, by a target that crashed for example.
+    // A response that ends with its connection cannot be told from a truncated one, for example after a crash of the target.
     if (!headers.framed) {
-      return { end: { kind: 'lost', reason: 'answer without a length' }, answered: false };
+      return { result: { kind: 'lost', reason: 'answer without a length' }, responded: false };
     }
-    if (kPromises.has(status)) {
-      return { end: { kind: 'lost', reason: `status ${status} without proof` }, answered: true };
+    if (kNotRunStatuses.has(status)) {
+      return { result: { kind: 'lost', reason: `status ${status} without proof` }, responded: true };
     }
     if (status < 300 && !headers.sealed) {
-      return { end: { kind: 'lost', reason: 'success without the seal of the target' }, answered: false };
+      return { result: { kind: 'lost', reason: 'success without the seal of the target' }, responded: false };
     }
-    return { end: { kind: 'answered', answer: { status, headers: headers.kept, body } }, answered: true };
+    return { result: { kind: 'answered', answer: { status, headers: headers.forwarded, body } }, responded: true };
   }
 }
 
-function lostRun(reason: string): RunEnd {
-  return { end: { kind: 'lost', reason }, answered: false };
+function lostRun(reason: string): RunResult {
+  return { result: { kind: 'lost', reason }, responded: false };
 }
 
 /** One request on a connection to the target. */
 class TargetRun implements Run, Expirable {
   aborted = false;
-  /** The connection may be another run's by now. */
+  /** Once set, another run may use the connection. */
   ended = false;
 
   constructor(
@@ -248,7 +244,7 @@
   abort(): void {
     if (!this.ended) {
       this.aborted = true;
-      this._connection.close('no longer wanted', true);
+      this._connection.close('run aborted', true);
     }
   }
 }
--- a/packages/mesh/src/server/bodyMemory.ts
+++ b/packages/mesh/src/server/bodyMemory.ts
@@ -3,24 +3,22 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Bounds the bytes that bodies of requests under way may take in this process. */
+/** Limits the memory for the bodies of requests in flight. */
 export class BodyMemory {
-  private _held = 0;
+  private _reservedBytes = 0;
 
-  /** @param _most in bytes */
-  constructor(private readonly _most: number) {}
+  constructor(private readonly _maxBytes: number) {}
 
-  /** Takes room for so many bytes; false, and nothing taken, when there is none left. */
-  take(bytes: number): boolean {
-    if (this._held > this._most) {
+  /** Reserves memory; returns false, and reserves nothing, once more than the limit is reserved. */
+  reserve(bytes: number): boolean {
+    if (this._reservedBytes > this._maxBytes) {
       return false;
     }
-    this._held += bytes;
+    this._reservedBytes += bytes;
     return true;
   }
 
-  /** Gives room back. */
   release(bytes: number): void {
-    this._held -= bytes;
+    this._reservedBytes -= bytes;
   }
 }
--- a/tests/mesh/links.spec.ts
+++ b/tests/mesh/links.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Links to other daemons that are silent, refuse, break, or talk nonsense. */
+/** Links to peers that are unresponsive, refuse connections, disconnect, or send malformed messages. */
 
 import { once } from 'node:events';
 import { connect, createServer, type Server, type Socket } from 'node:net';
@@ -34,8 +34,8 @@
 };
 const kTopic = 'keyed.gentiandrum-hosts';
 
-/** Something that listens where another daemon should. */
-async function withStranger(onSocket: (socket: Socket) => void, body: (address: string) => Promise<void>): Promise<void> {
+/** Runs `body` with the address of a fake peer daemon. */
+async function withFakePeer(onSocket: (socket: Socket) => void, body: (address: string) => Promise<void>): Promise<void> {
   const sockets = new Set<Socket>();
   const server: Server = createServer((socket) => {
     sockets.add(socket);
@@ -52,13 +52,13 @@
   }
 }
 
-/** A daemon that believes in a target on a host which is reached at `peers`. */
-async function believer(fleet: MeshFleet, peers: string): Promise<FleetHost> {
+/** Adds a daemon that knows a ready target on a host whose daemon listens at `peers`. */
+async function addHostWithKnownPeer(fleet: MeshFleet, peers: string): Promise<FleetHost> {
   fleet.configure([
     { prefix: '/a/', service: 'reads' },
     { prefix: '/once/', service: 'reads', idempotent: false },
   ]);
-  const ghost = {
+  const record = {
     host: 'ghost',
     zone: 'z1',
     peers,
@@ -69,44 +69,44 @@
     epoch: 1,
     revision: 1,
   };
-  fleet.store.put(kTopic, 'ghost', JSON.stringify(ghost));
+  fleet.store.put(kTopic, 'ghost', JSON.stringify(record));
   const host = await fleet.add('h1', 'other');
   await fleet.until('the daemon to be ready', async () => (await fleet.readiness(host)) === 200);
   return host;
 }
 
 describe('a link to another daemon', () => {
-  itAlone('should be given up when it stays silent, and the call answered 502: it may have run', (t) =>
+  itAlone('should be closed when the peer is unresponsive, and the call get 502 because it may have run', (t) =>
     withFleet((fleet) =>
-      withStranger(
+      withFakePeer(
         () => undefined,
         async (address) => {
-          const host = await believer(fleet, address);
+          const host = await addHostWithKnownPeer(fleet, address);
           const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold', remainingMs: 20_000 });
           t.is(answer.status, 502);
-          t.regex(answer.body, /no sign of life/);
+          t.regex(answer.body, /no response to a ping/);
         },
       ),
     ),
   );
 
-  itAlone('should answer 503 when it can not be opened: nothing ran', (t) =>
+  itAlone('should respond 503 when it cannot be opened, because nothing ran', (t) =>
     withFleet(async (fleet) => {
-      const host = await believer(fleet, '127.0.0.1:9');
+      const host = await addHostWithKnownPeer(fleet, '127.0.0.1:9');
       const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
       t.is(answer.status, 503);
       t.truthy(answer.headers['retry-after']);
     }),
   );
 
-  itAlone('should answer 502 when it breaks with a call on it, or brings bytes that are no message', (t) =>
+  itAlone('should respond 502 when it is lost with a call in flight, or receives a malformed message', (t) =>
     withFleet((fleet) =>
-      withStranger(
+      withFakePeer(
         (socket) => {
           socket.on('data', () => socket.write(Buffer.alloc(64, 0xff)));
         },
         async (address) => {
-          const host = await believer(fleet, address);
+          const host = await addHostWithKnownPeer(fleet, address);
           const statuses = [];
           for (let i = 0; i < 3; i++) {
             statuses.push((await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' })).status);
@@ -118,12 +118,9 @@
     ),
   );
 
-  /**
-   * A daemon that stops as planned ends its links. A sender that had no processor time meanwhile, or was far away, has calls on them
-   * that nobody read; without a word on them each counted as "may have run", and its caller got 502 for a call that was never taken.
-   */
-  describe('with a daemon that stops', () => {
-    const answerWith =
+  /** Guards against a 502 for a call that a daemon did not accept before its shutdown. */
+  describe('with a daemon that shuts down', () => {
+    const sendGoodbye =
       (taken: (id: number) => number) =>
       (socket: Socket): void => {
         const reader = new MessageReader();
@@ -137,12 +134,12 @@
         });
       };
 
-    itAlone('should answer 503 to a call that its last message does not count as taken', (t) =>
+    itAlone('should respond 503 to a call that its goodbye does not list as accepted', (t) =>
       withFleet((fleet) =>
-        withStranger(
-          answerWith((id) => id - 1),
+        withFakePeer(
+          sendGoodbye((id) => id - 1),
           async (address) => {
-            const host = await believer(fleet, address);
+            const host = await addHostWithKnownPeer(fleet, address);
             const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
             t.is(answer.status, 503);
             t.truthy(answer.headers['retry-after']);
@@ -151,19 +148,19 @@
       ),
     );
 
-    itAlone('should answer 502 to a call that was taken and has no answer', (t) =>
+    itAlone('should respond 502 to a call that was accepted and has no response', (t) =>
       withFleet((fleet) =>
-        withStranger(
-          answerWith((id) => id),
+        withFakePeer(
+          sendGoodbye((id) => id),
           async (address) => {
-            const host = await believer(fleet, address);
+            const host = await addHostWithKnownPeer(fleet, address);
             t.is((await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' })).status, 502);
           },
         ),
       ),
     );
 
-    itAlone('should bring the count of calls that were taken as its last message', (t) =>
+    itAlone('should send the last accepted call id in its last message', (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/a/', service: 'reads' }]);
         const near = await fleet.add('h1', 'other');
@@ -184,29 +181,29 @@
     );
   });
 
-  itAlone('should tell that a call was not run which was not yet written when the link ended', (t) => {
-    const ends: CallResult[] = [];
+  itAlone('should report a call as not run that was not yet written when the link was lost', (t) => {
+    const results: CallResult[] = [];
     const calls = new PeerCalls(() => ({ cancel: () => undefined }));
     const socket = new Duplex({ read: () => undefined, write: () => undefined });
     const link = new PeerLink(Object.assign(socket, { setNoDelay: () => socket }) as unknown as Socket, {
       onMessage: () => undefined,
       onClose: (closed, reason) => {
-        calls.lost(closed, reason);
+        calls.linkLost(closed, reason);
       },
-      onSilence: () => undefined,
+      onUnresponsive: () => undefined,
     });
     calls.offer(
       (use) => {
         use(link);
       },
       kCall,
-      (end) => ends.push(end),
+      (end) => results.push(end),
     );
     socket.emit('close');
-    t.deepEqual(ends, [{ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 }]);
+    t.deepEqual(results, [{ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 }]);
   });
 
-  itAlone('should lead to the target again once its daemon is back', (t) =>
+  itAlone('should be used again after a restart of the peer', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const near = await fleet.add('h1', 'other');
@@ -219,19 +216,19 @@
     }),
   );
 
-  itAlone('should tell that a host is gone when another one answers at its address', (t) =>
+  itAlone('should report a host as removed when another one responds at its address', (t) =>
     withFleet(async (fleet) => {
-      const heir = await fleet.add('h2', 'reads');
-      const host = await believer(fleet, heir.daemon.record.peers);
+      const successor = await fleet.add('h2', 'reads');
+      const host = await addHostWithKnownPeer(fleet, successor.daemon.record.peers);
       await fleet.until('only the two hosts to be known as ready', async () =>
         /name="hosts_ready"[^}]*} 2\n/.test(await fleet.metrics(host)),
       );
-      const placed = async (): Promise<boolean> => (await fleet.metrics(host)).includes('after_refusal="true"');
-      const before = await placed();
+      const hasPlacementAfterRefusal = async (): Promise<boolean> => (await fleet.metrics(host)).includes('after_refusal="true"');
+      const before = await hasPlacementAfterRefusal();
       for (let i = 0; i < 5; i++) {
         t.is((await fleet.call(host, '/a/x')).status, 200);
       }
-      t.is(await placed(), before);
+      t.is(await hasPlacementAfterRefusal(), before);
     }),
   );
 });
--- a/tests/mesh/peerLink.spec.ts
+++ b/tests/mesh/peerLink.spec.ts
@@ -35,7 +35,7 @@
   const link = new PeerLink(socket as unknown as Socket, {
     onMessage: () => undefined,
     onClose: (_link, reason) => events.push(`closed: ${reason}`),
-    onSilence: (_link, silent) => events.push(silent ? 'silent' : 'heard'),
+    onUnresponsive: (_link, unresponsive) => events.push(unresponsive ? 'silent' : 'heard'),
   });
   let now = 0;
   const checkUntil = (ms: number): void => {
@@ -53,10 +53,10 @@
   }
 }
 
-describe('a link whose other end is silent', () => {
-  itAlone('should be suspected within half a second when an answer is owed, and lost later', (t) => {
+describe('a link to an unresponsive peer', () => {
+  itAlone('should be reported as unresponsive within half a second when a call is pending, and be closed later', (t) => {
     withLink((link, _socket, checkUntil, events) => {
-      link.owed = 1;
+      link.pendingCalls = 1;
       checkUntil(200);
       t.deepEqual(events, []);
       checkUntil(500);
@@ -64,13 +64,13 @@
       checkUntil(1_100);
       t.deepEqual(events, ['silent']);
       checkUntil(1_400);
-      t.deepEqual(events, ['silent', 'closed: no sign of life']);
+      t.deepEqual(events, ['silent', 'closed: no response to a ping']);
     });
   });
 
-  itAlone('should be trusted again when it is heard of', (t) => {
+  itAlone('should be reported as responsive when a message is received', (t) => {
     withLink((link, socket, checkUntil, events) => {
-      link.owed = 1;
+      link.pendingCalls = 1;
       checkUntil(500);
       socket.emit('data', new MessageWriter().encode({ type: 'pong' }));
       t.deepEqual(events, ['silent', 'heard']);
@@ -78,28 +78,28 @@
     });
   });
 
-  itAlone('should still be suspected within a second, and lost within two, after it has answered many probes', (t) => {
+  itAlone('should be reported as unresponsive within a second, and closed within two, after many answered pings', (t) => {
     withLink((link, socket, checkUntil, events) => {
-      link.owed = 1;
-      const kSoundMs = 5_000;
-      for (let now = 200; now <= kSoundMs; now += 200) {
+      link.pendingCalls = 1;
+      const kResponsiveMs = 5_000;
+      for (let now = 200; now <= kResponsiveMs; now += 200) {
         checkUntil(now);
         socket.emit('data', new MessageWriter().encode({ type: 'pong' }));
       }
-      checkUntil(kSoundMs + 1_000);
+      checkUntil(kResponsiveMs + 1_000);
       t.deepEqual(events, ['silent']);
-      checkUntil(kSoundMs + 2_000);
-      t.deepEqual(events, ['silent', 'closed: no sign of life']);
+      checkUntil(kResponsiveMs + 2_000);
+      t.deepEqual(events, ['silent', 'closed: no response to a ping']);
     });
   });
 
-  itAlone('should be probed less often while it answers', (t) => {
+  itAlone('should be pinged less often while it responds', (t) => {
     withLink((link, socket, checkUntil) => {
       let probes = 0;
       link.send = () => {
         probes++;
       };
-      link.owed = 1;
+      link.pendingCalls = 1;
       for (let now = kCheckMs; now <= 6_000; now += kCheckMs) {
         const before = probes;
         checkUntil(now);
@@ -107,14 +107,14 @@
           socket.emit('data', new MessageWriter().encode({ type: 'pong' }));
         }
       }
-      // 30 at the interval for a link of which nothing is known.
+      // 30 without backoff.
       t.true(probes >= 7 && probes <= 12, String(probes));
     });
   });
 
-  itAlone('should not be judged by a time in which this process itself stood still', (t) => {
+  itAlone('should ignore the time in which this process was stalled', (t) => {
     withLink((link, _socket, checkUntil, events, time) => {
-      link.owed = 1;
+      link.pendingCalls = 1;
       checkUntil(300);
       time.runUntil(5_000);
       link.check();
@@ -122,12 +122,12 @@
     });
   });
 
-  itAlone('should be left alone while nothing is owed, and asked now and then', (t) => {
+  itAlone('should be pinged at long intervals while no call is pending', (t) => {
     withLink((_link, _socket, checkUntil, events) => {
       checkUntil(2_000);
       t.deepEqual(events, []);
       checkUntil(3_600);
-      t.deepEqual(events, ['silent', 'closed: no sign of life']);
+      t.deepEqual(events, ['silent', 'closed: no response to a ping']);
     });
   });
 });
