--- a/packages/daemon/src/app/callSession.ts
+++ b/packages/daemon/src/app/callSession.ts
@@ -7,7 +7,7 @@
 
 import { type CallEvent, type Candidate, type Effects, monotonicMs, type OfferResult, type Payload } from '@gentiandrum/core';
 import { kOfferHeader, kVerdictHeader, type OfferTerms, offerVerdictSchema } from '@gentiandrum/protocol';
-import { exchange, type ExchangeEnd, HttpExchange } from '../client/httpExchange.js';
+import { exchange, type ExchangeResult, HttpExchange } from '../client/httpExchange.js';
 import type { Pools } from '../client/pools.js';
 import type { OfferService } from './offerService.js';
 import type { OpenOffers } from './openOffers.js';
@@ -94,7 +94,7 @@
       return { kind: this._deps.offers.cancel(attempt) };
     }
     const req = { method: 'POST', path: `/-/cancel/${encodeURIComponent(attempt)}`, headers: {}, body: new Uint8Array() };
-    const end = await exchange(this._deps.pools.to(`http://${to.address}`), req, 1_024, kCancelMs);
+    const end = await exchange(this._deps.pools.get(`http://${to.address}`), req, 1_024, kCancelMs);
     const running = this._running.get(attempt);
     this._running.delete(attempt);
     running?.abort();
@@ -111,7 +111,7 @@
     const offer = JSON.stringify({ terms, method, path, headers, from: selfId });
     const req = { method: 'POST', path: '/-/offer', headers: { [kOfferHeader]: offer, 'content-type': 'application/octet-stream' }, body };
     openOffers.sent(to.daemon);
-    const exchanged = new HttpExchange(this._deps.pools.to(`http://${to.address}`), req, kMaxReplyBytes, (end) => {
+    const exchanged = new HttpExchange(this._deps.pools.get(`http://${to.address}`), req, kMaxReplyBytes, (end) => {
       const wanted = this._running.delete(attempt);
       openOffers.ended(to.daemon);
       if (end.kind === 'lost' && end.written && wanted && !terms.idempotent) {
@@ -127,7 +127,7 @@
    * An offer that must not run twice was written to a connection that ended without an answer. A daemon that left as planned has told
    * which offers it may have taken; any other one was not, and may go to another target. Past its deadline nothing is proved any more.
    */
-  private async _lost(attempt: string, to: Candidate, end: Extract<ExchangeEnd, { kind: 'lost' }>, deadline: number): Promise<void> {
+  private async _lost(attempt: string, to: Candidate, end: Extract<ExchangeResult, { kind: 'lost' }>, deadline: number): Promise<void> {
     const neverTook = await this._deps.neverTook(to, attempt);
     const written = !neverTook || monotonicMs() >= deadline;
     this._push({ kind: 'ended', attempt, result: { ...end, written } });
@@ -143,7 +143,7 @@
 }
 
 /** Reads the gate's answer. One that can't be read is as good as lost. */
-function offerEnd(end: ExchangeEnd): OfferResult {
+function offerEnd(end: ExchangeResult): OfferResult {
   if (end.kind === 'lost') {
     return end;
   }
--- a/packages/daemon/src/app/offerService.ts
+++ b/packages/daemon/src/app/offerService.ts
@@ -24,7 +24,7 @@
   wallMs,
 } from '@gentiandrum/core';
 import { kChainHeader, kTimeoutHeader, type OfferTerms } from '@gentiandrum/protocol';
-import { type ExchangeEnd, HttpExchange } from '../client/httpExchange.js';
+import { type ExchangeResult, HttpExchange } from '../client/httpExchange.js';
 import type { Pools } from '../client/pools.js';
 import { type ChainTokens, withBaggage } from './chainToken.js';
 import type { DecisionLog } from './decisionLog.js';
@@ -171,10 +171,10 @@
     const remainingMs = deadline - monotonicMs();
     const headers = this._headersFor(terms, payload, remainingMs);
     this._deps.suspects.started(attempt);
-    const pool = this._deps.pools.to(announcement.url, announcement.connections);
+    const pool = this._deps.pools.get(announcement.url, announcement.connections);
     return new Promise((resolve) => {
       let asked: 'timeout' | 'cancelled' | undefined;
-      const done = (end: ExchangeEnd): void => {
+      const done = (end: ExchangeResult): void => {
         clearTimeout(timer);
         this._forwarding.delete(attempt);
         void this._judged(attempt, end, asked).then(resolve);
@@ -194,7 +194,7 @@
   }
 
   /** The end of a run, once it is known what it says of the call's kind. */
-  private async _judged(attempt: string, end: ExchangeEnd, asked: 'timeout' | 'cancelled' | undefined): Promise<ForwardResult> {
+  private async _judged(attempt: string, end: ExchangeResult, asked: 'timeout' | 'cancelled' | undefined): Promise<ForwardResult> {
     const { suspects } = this._deps;
     // A failure may have come before the work that ends the target.
     if (end.kind === 'answered' && end.status < 500) {
@@ -240,7 +240,7 @@
   return suspicion ? { ...end, suspicion } : end;
 }
 
-function forwardEnd(end: ExchangeEnd, asked: 'timeout' | 'cancelled' | undefined): ForwardResult {
+function forwardEnd(end: ExchangeResult, asked: 'timeout' | 'cancelled' | undefined): ForwardResult {
   switch (end.kind) {
     case 'answered':
       return { kind: 'answered', answer: { status: end.status, headers: end.headers, body: end.body } };
--- a/packages/daemon/src/client/groupAppender.ts
+++ b/packages/daemon/src/client/groupAppender.ts
@@ -12,49 +12,49 @@
  * make at most 320 appends a second; a claim after a quiet while is appended at once.
  */
 const kMinIntervalMs = 100;
-const kMaxGroup = 500;
+const kMaxGroupSize = 500;
 
-interface Waiting<T> {
+interface PendingAppend<T> {
   record: T;
-  done: (end: AppendResult) => void;
+  resolve: (result: AppendResult) => void;
 }
 
 /** Group commit for one stream. */
 export class GroupAppender<T> {
-  private _waiting: Waiting<T>[] = [];
-  private _busy = false;
-  private _lastAt = -Infinity;
+  private _pending: PendingAppend<T>[] = [];
+  private _flushing = false;
+  private _lastAppendMs = -Infinity;
 
   /** @param _append appends one group as one record */
   constructor(private readonly _append: (group: T[]) => Promise<AppendResult>) {}
 
   /** Appends a record with the next group. */
   append(record: T): Promise<AppendResult> {
-    return new Promise((done) => {
-      this._waiting.push({ record, done });
+    return new Promise((resolve) => {
+      this._pending.push({ record, resolve });
       void this._flush();
     });
   }
 
   private async _flush(): Promise<void> {
-    if (this._busy) {
+    if (this._flushing) {
       return;
     }
-    this._busy = true;
-    while (this._waiting.length > 0) {
-      await this._pause();
-      const group = this._waiting.splice(0, kMaxGroup);
-      this._lastAt = monotonicMs();
-      const end = await this._append(group.map(({ record }) => record));
-      for (const { done } of group) {
-        done(end);
+    this._flushing = true;
+    while (this._pending.length > 0) {
+      await this._waitForInterval();
+      const group = this._pending.splice(0, kMaxGroupSize);
+      this._lastAppendMs = monotonicMs();
+      const result = await this._append(group.map(({ record }) => record));
+      for (const { resolve } of group) {
+        resolve(result);
       }
     }
-    this._busy = false;
+    this._flushing = false;
   }
 
-  private async _pause(): Promise<void> {
-    const waitMs = this._lastAt + kMinIntervalMs - monotonicMs();
+  private async _waitForInterval(): Promise<void> {
+    const waitMs = this._lastAppendMs + kMinIntervalMs - monotonicMs();
     if (waitMs > 0) {
       await new Promise((resolve) => setTimeout(resolve, waitMs));
     }
--- a/packages/daemon/src/client/httpExchange.ts
+++ b/packages/daemon/src/client/httpExchange.ts
@@ -13,7 +13,7 @@
 import type { Dispatcher } from 'undici';
 
 /** How an exchange ended. */
-export type ExchangeEnd =
+export type ExchangeResult =
   | { kind: 'answered'; status: number; headers: Record<string, string | string[]>; body: Buffer }
   | { kind: 'truncated' }
   | { kind: 'too_large' }
@@ -27,29 +27,29 @@
   body: Uint8Array;
 }
 
-const kNoBytes = Buffer.alloc(0);
+const kEmptyBody = Buffer.alloc(0);
 
 /** A running exchange. */
 export class HttpExchange implements Dispatcher.DispatchHandler {
   private _written = false;
-  private _ended = false;
+  private _settled = false;
   private _controller: Dispatcher.DispatchController | undefined;
   private _status = 0;
   private _headers: Record<string, string | string[]> | undefined;
   private readonly _chunks: Buffer[] = [];
-  private _size = 0;
+  private _receivedBytes = 0;
 
   /**
    * Starts an exchange.
    *
    * @param _maxBytes longest answer that is taken
-   * @param _done called once with the end
+   * @param _onResult called once with the end
    */
   constructor(
     dispatcher: Dispatcher,
     req: ExchangeRequest,
     private readonly _maxBytes: number,
-    private readonly _done: (end: ExchangeEnd) => void,
+    private readonly _onResult: (result: ExchangeResult) => void,
   ) {
     dispatcher.dispatch(
       {
@@ -66,14 +66,14 @@
 
   /** Gives the exchange up and closes its connection. */
   abort(): void {
-    const lost: ExchangeEnd = { kind: 'lost', written: this._written, cause: 'given up' };
-    this._end(lost);
+    const result: ExchangeResult = { kind: 'lost', written: this._written, cause: 'given up' };
+    this._settle(result);
     this._controller?.abort(new Error('given up'));
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this._controller = controller;
-    if (this._ended) {
+    if (this._settled) {
       controller.abort(new Error('given up'));
       return;
     }
@@ -90,9 +90,9 @@
   }
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    this._size += chunk.byteLength;
-    if (this._size > this._maxBytes) {
-      this._end({ kind: 'too_large' });
+    this._receivedBytes += chunk.byteLength;
+    if (this._receivedBytes > this._maxBytes) {
+      this._settle({ kind: 'too_large' });
       controller.abort(new Error('answer over the limit'));
       return;
     }
@@ -101,32 +101,32 @@
 
   onResponseEnd(): void {
     const [first] = this._chunks;
-    const body = this._chunks.length === 1 && first ? first : this._chunks.length === 0 ? kNoBytes : Buffer.concat(this._chunks);
-    this._end({ kind: 'answered', status: this._status, headers: this._headers ?? {}, body });
+    const body = this._chunks.length === 1 && first ? first : this._chunks.length === 0 ? kEmptyBody : Buffer.concat(this._chunks);
+    this._settle({ kind: 'answered', status: this._status, headers: this._headers ?? {}, body });
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, err: Error): void {
-    this._end(this._headers ? { kind: 'truncated' } : { kind: 'lost', written: this._written, cause: err.message });
+    this._settle(this._headers ? { kind: 'truncated' } : { kind: 'lost', written: this._written, cause: err.message });
   }
 
-  private _end(end: ExchangeEnd): void {
-    if (this._ended) {
+  private _settle(result: ExchangeResult): void {
+    if (this._settled) {
       return;
     }
-    this._ended = true;
-    this._done(end);
+    this._settled = true;
+    this._onResult(result);
   }
 }
 
 /** Runs an exchange to its end. */
-export function exchange(dispatcher: Dispatcher, req: ExchangeRequest, maxBytes: number, timeoutMs: number): Promise<ExchangeEnd> {
+export function exchange(dispatcher: Dispatcher, req: ExchangeRequest, maxBytes: number, timeoutMs: number): Promise<ExchangeResult> {
   return new Promise((resolve) => {
-    const running = new HttpExchange(dispatcher, req, maxBytes, (end) => {
+    const httpExchange = new HttpExchange(dispatcher, req, maxBytes, (result) => {
       clearTimeout(timer);
-      resolve(end);
+      resolve(result);
     });
     const timer = setTimeout(() => {
-      running.abort();
+      httpExchange.abort();
     }, timeoutMs);
   });
 }
--- a/packages/daemon/src/client/logClient.ts
+++ b/packages/daemon/src/client/logClient.ts
@@ -7,12 +7,12 @@
 
 import type { AppendResult } from '@gentiandrum/core';
 import { appendResponseSchema, type ReadResponse, readResponseSchema } from '@gentiandrum/protocol';
-import { exchange, type ExchangeEnd } from './httpExchange.js';
+import { exchange, type ExchangeResult } from './httpExchange.js';
 import type { Pools } from './pools.js';
 
 const kAppendTimeoutMs = 1_500;
 const kReadTimeoutMs = 1_500;
-const kMaxReplyBytes = 16 * 1024 * 1024;
+const kMaxResponseBytes = 16 * 1024 * 1024;
 const kPageSize = 1_000;
 
 /** Counts of what went to the log and came from it. */
@@ -34,33 +34,33 @@
   /** Appends one record. No answer means that it may have taken effect. */
   async append(stream: string, value: unknown): Promise<AppendResult> {
     const body = Buffer.from(JSON.stringify({ value }));
-    const end = await this._send('POST', `/streams/${stream}/records`, body, kAppendTimeoutMs);
+    const result = await this._send('POST', `/streams/${stream}/records`, body, kAppendTimeoutMs);
     this.traffic.appends++;
-    if (end.kind === 'answered' && end.status === 200) {
-      const reply = appendResponseSchema.safeParse(parseJson(end.body));
-      return reply.success ? { kind: 'appended', offset: reply.data.offset } : { kind: 'lost' };
+    if (result.kind === 'answered' && result.status === 200) {
+      const parsed = appendResponseSchema.safeParse(parseJson(result.body));
+      return parsed.success ? { kind: 'appended', offset: parsed.data.offset } : { kind: 'lost' };
     }
-    const tookNothing = (end.kind === 'answered' && end.status === 503) || (end.kind === 'lost' && !end.written);
-    return { kind: tookNothing ? 'refused' : 'lost' };
+    const notAppended = (result.kind === 'answered' && result.status === 503) || (result.kind === 'lost' && !result.written);
+    return { kind: notAppended ? 'refused' : 'lost' };
   }
 
   /** Reads records from an offset, waiting up to `waitMs` for the first; undefined when the log doesn't answer. */
   async read(stream: string, from: number, waitMs = 0): Promise<ReadResponse | undefined> {
     const path = `/streams/${stream}/records?from=${from}&wait_ms=${waitMs}&limit=${kPageSize}`;
-    const end = await this._send('GET', path, Buffer.alloc(0), kReadTimeoutMs + waitMs);
+    const result = await this._send('GET', path, Buffer.alloc(0), kReadTimeoutMs + waitMs);
     this.traffic.reads++;
-    if (end.kind !== 'answered' || end.status !== 200) {
+    if (result.kind !== 'answered' || result.status !== 200) {
       return undefined;
     }
-    const reply = readResponseSchema.safeParse(parseJson(end.body));
-    return reply.success ? reply.data : undefined;
+    const parsed = readResponseSchema.safeParse(parseJson(result.body));
+    return parsed.success ? parsed.data : undefined;
   }
 
-  private async _send(method: string, path: string, body: Buffer, timeoutMs: number): Promise<ExchangeEnd> {
+  private async _send(method: string, path: string, body: Buffer, timeoutMs: number): Promise<ExchangeResult> {
     const headers = { 'content-type': 'application/json' };
-    const end = await exchange(this._pools.to(this._url), { method, path, headers, body }, kMaxReplyBytes, timeoutMs);
-    this.traffic.bytes += body.byteLength + path.length + (end.kind === 'answered' ? end.body.byteLength : 0);
-    return end;
+    const result = await exchange(this._pools.get(this._url), { method, path, headers, body }, kMaxResponseBytes, timeoutMs);
+    this.traffic.bytes += body.byteLength + path.length + (result.kind === 'answered' ? result.body.byteLength : 0);
+    return result;
   }
 }
 
--- a/packages/daemon/src/client/peerClient.ts
+++ b/packages/daemon/src/client/peerClient.ts
@@ -20,7 +20,7 @@
 import { Agent } from 'node:http';
 import { decodeMember, decodeServed, decodeSuspicion, encodeMember } from '../app/peerCodec.js';
 
-const kTimeoutMs = 500;
+const kRequestTimeoutMs = 500;
 const kClaimTimeoutMs = 2_000;
 const kMaxClients = 1_000;
 
@@ -40,24 +40,26 @@
   /** Pings a daemon; undefined when it doesn't answer. */
   async ping(address: string, msg: { from: string; to: string; configVersion: number; changes: Member[] }): Promise<Pong | undefined> {
     const req = { from: msg.from, to: msg.to, configVersion: BigInt(msg.configVersion), changes: msg.changes.map(encodeMember) };
-    const res = await quiet(this._to(address).ping(req, { timeoutMs: kTimeoutMs }));
+    const res = await undefinedOnError(this._clientFor(address).ping(req, { timeoutMs: kRequestTimeoutMs }));
     return res && { configVersion: Number(res.configVersion), changes: res.changes.map(decodeMember), openOffers: res.openOffers };
   }
 
   /** Asks for the configuration records from an offset on. */
   fetchConfig(address: string, next: number): Promise<FetchConfigResponse | undefined> {
-    return quiet(this._to(address).fetchConfig({ next: BigInt(next) }, { timeoutMs: kTimeoutMs * 2 }));
+    return undefinedOnError(this._clientFor(address).fetchConfig({ next: BigInt(next) }, { timeoutMs: kRequestTimeoutMs * 2 }));
   }
 
   /** Asks for all members that a daemon knows. */
   async fetchMembers(address: string): Promise<Member[] | undefined> {
-    const res = await quiet(this._to(address).fetchMembers({}, { timeoutMs: kTimeoutMs }));
+    const res = await undefinedOnError(this._clientFor(address).fetchMembers({}, { timeoutMs: kRequestTimeoutMs }));
     return res?.members.map(decodeMember);
   }
 
   /** Bids for a key where it is settled. */
   async settleKey(address: string, bid: KeyBid, incarnation: number, root: string): Promise<KeyVerdict | { kind: 'unreachable' }> {
-    const res = await quiet(this._to(address).settleKey({ bid, settlerIncarnation: BigInt(incarnation), root }, { timeoutMs: kTimeoutMs }));
+    const res = await undefinedOnError(
+      this._clientFor(address).settleKey({ bid, settlerIncarnation: BigInt(incarnation), root }, { timeoutMs: kRequestTimeoutMs }),
+    );
     switch (res?.verdict) {
       case undefined:
         return { kind: 'unreachable' };
@@ -76,7 +78,7 @@
   /** Has another daemon append a claim. */
   async relayClaim(address: string, shard: number, record: ClaimRecord): Promise<RelayResult> {
     const claim = create(ClaimSchema, record);
-    const res = await quiet(this._to(address).relayClaim({ shard, claim }, { timeoutMs: kClaimTimeoutMs }));
+    const res = await undefinedOnError(this._clientFor(address).relayClaim({ shard, claim }, { timeoutMs: kClaimTimeoutMs }));
     if (!res) {
       return { kind: 'unreachable' };
     }
@@ -88,11 +90,11 @@
   }
 
   /** Asks the claimant of a key for its answer. */
-  async fetchAnswer(address: string, ask: { key: string; body: string; claimant: string; waitMs: number }): Promise<FetchResult> {
-    const { key, body, claimant } = ask;
-    const waitMs = Math.max(0, Math.floor(ask.waitMs));
+  async fetchAnswer(address: string, query: { key: string; body: string; claimant: string; waitMs: number }): Promise<FetchResult> {
+    const { key, body, claimant } = query;
+    const waitMs = Math.max(0, Math.floor(query.waitMs));
     const req = { key, bodyDigest: body, claimant, waitMs };
-    const res = await quiet(this._to(address).fetchAnswer(req, { timeoutMs: kTimeoutMs + waitMs }));
+    const res = await undefinedOnError(this._clientFor(address).fetchAnswer(req, { timeoutMs: kRequestTimeoutMs + waitMs }));
     switch (res?.state) {
       case undefined:
         return { kind: 'unreachable' };
@@ -112,8 +114,8 @@
 
   /** Tells of kinds that targets may have ended by; returns what the other daemon knows. */
   async tellSuspects(address: string, suspects: readonly Suspicion[]): Promise<Suspicion[] | undefined> {
-    const told = suspects.map((suspicion) => ({ ...suspicion, marks: [...suspicion.marks] }));
-    const res = await quiet(this._to(address).tellSuspects({ suspects: told }, { timeoutMs: kTimeoutMs }));
+    const encoded = suspects.map((suspicion) => ({ ...suspicion, marks: [...suspicion.marks] }));
+    const res = await undefinedOnError(this._clientFor(address).tellSuspects({ suspects: encoded }, { timeoutMs: kRequestTimeoutMs }));
     return res?.suspects.map(decodeSuspicion);
   }
 
@@ -122,7 +124,7 @@
     this._agent.destroy();
   }
 
-  private _to(address: string): Client<typeof PeerService> {
+  private _clientFor(address: string): Client<typeof PeerService> {
     let client = this._clients.get(address);
     if (!client) {
       const transport = createConnectTransport({
@@ -134,12 +136,12 @@
       });
       client = createClient(PeerService, transport);
       this._clients.set(address, client);
-      this._trim();
+      this._evictOldest();
     }
     return client;
   }
 
-  private _trim(): void {
+  private _evictOldest(): void {
     const oldest = this._clients.keys().next();
     if (this._clients.size > kMaxClients && !oldest.done) {
       this._clients.delete(oldest.value);
@@ -148,9 +150,9 @@
 }
 
 /** An unreachable peer is an everyday answer here, not an error. */
-async function quiet<T>(answer: Promise<T>): Promise<T | undefined> {
+async function undefinedOnError<T>(response: Promise<T>): Promise<T | undefined> {
   try {
-    return await answer;
+    return await response;
   } catch {
     return undefined;
   }
--- a/packages/daemon/src/client/pools.ts
+++ b/packages/daemon/src/client/pools.ts
@@ -19,7 +19,7 @@
   constructor(private readonly _connections: number) {}
 
   /** The pool for a base address such as `http://10.1.2.3:80`. */
-  to(origin: string, connections = this._connections): Pool {
+  get(origin: string, connections = this._connections): Pool {
     let pool = this._pools.get(origin);
     if (!pool) {
       pool = new Pool(origin, {
--- a/packages/daemon/src/client/streamTail.ts
+++ b/packages/daemon/src/client/streamTail.ts
@@ -31,15 +31,15 @@
     if (upTo !== undefined && this._fold.next > upTo) {
       return { kind: 'read' };
     }
-    const before = this._reading;
-    if (before) {
-      await before;
+    const inProgress = this._reading;
+    if (inProgress) {
+      await inProgress;
       return this.readUpTo(upTo);
     }
     this._reading = this._readPages(upTo, 0);
-    const end = await this._reading;
+    const result = await this._reading;
     this._reading = undefined;
-    return end;
+    return result;
   }
 
   /** Waits up to `waitMs` for new records, and folds them. */
--- a/packages/daemon/src/client/targetProbe.ts
+++ b/packages/daemon/src/client/targetProbe.ts
@@ -8,28 +8,28 @@
 import { connect } from 'node:net';
 
 /** Longest wait for the connection, in milliseconds. */
-const kProbeMs = 1_000;
+const kProbeTimeoutMs = 1_000;
 
 /** How a connection to a target came out. */
-export type ProbeEnd = 'connected' | 'refused' | 'unknown';
+export type ProbeResult = 'connected' | 'refused' | 'unknown';
 
 /** Tries one connection to a base address such as `http://10.1.2.3:80`. */
-export function probeTarget(url: string): Promise<ProbeEnd> {
+export function probeTarget(url: string): Promise<ProbeResult> {
   const { hostname, port } = new URL(url);
   return new Promise((resolve) => {
-    const socket = connect({ host: hostname, port: Number(port), timeout: kProbeMs });
-    const end = (how: ProbeEnd): void => {
+    const socket = connect({ host: hostname, port: Number(port), timeout: kProbeTimeoutMs });
+    const settle = (result: ProbeResult): void => {
       socket.destroy();
-      resolve(how);
+      resolve(result);
     };
     socket.on('connect', () => {
-      end('connected');
+      settle('connected');
     });
     socket.on('timeout', () => {
-      end('unknown');
+      settle('unknown');
     });
     socket.on('error', (err: NodeJS.ErrnoException) => {
-      end(err.code === 'ECONNREFUSED' ? 'refused' : 'unknown');
+      settle(err.code === 'ECONNREFUSED' ? 'refused' : 'unknown');
     });
   });
 }
