--- a/packages/daemon/src/client/groupAppender.ts
+++ b/packages/daemon/src/client/groupAppender.ts
@@ -3,14 +3,11 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Appends in groups: what comes while an append is under way goes with the next one. */
+/** Group commit: records that arrive while an append is in progress are written together by the next append. */
 
 import { type AppendResult, monotonicMs } from '@gentiandrum/core';
 
-/**
- * Shortest time between two appends of one stream, in milliseconds. With 16 shards in two regions all claims together then
- * make at most 320 appends a second; a claim after a quiet while is appended at once.
- */
+/** Minimum time between the starts of two appends, in milliseconds; bounds the append rate of a stream under load. */
 const kMinIntervalMs = 100;
 const kMaxGroupSize = 500;
 
@@ -19,16 +16,16 @@
   resolve: (result: AppendResult) => void;
 }
 
-/** Group commit for one stream. */
+/** Appends the records of one stream in groups. */
 export class GroupAppender<T> {
   private _pending: PendingAppend<T>[] = [];
   private _flushing = false;
   private _lastAppendMs = -Infinity;
 
-  /** @param _append appends one group as one record */
+  /** @param _append writes a group to the log as one record */
   constructor(private readonly _append: (group: T[]) => Promise<AppendResult>) {}
 
-  /** Appends a record with the next group. */
+  /** Queues a record for the next group; resolves with the result of that group's append. */
   append(record: T): Promise<AppendResult> {
     return new Promise((resolve) => {
       this._pending.push({ record, resolve });
--- a/packages/daemon/src/client/httpExchange.ts
+++ b/packages/daemon/src/client/httpExchange.ts
@@ -4,22 +4,21 @@
  */
 
 /**
- * One HTTP request with its whole answer, over undici's dispatcher.
+ * One HTTP request and its complete response, over undici's dispatcher.
  *
- * Tells apart what the caller of a non-idempotent request must know: whether a byte may have been written, and whether
- * the answer that came was whole.
+ * The result states what a caller needs to know before it retries a non-idempotent request: whether any byte of the request
+ * may have been written, and whether the response was complete.
  */
 
 import type { Dispatcher } from 'undici';
 
-/** How an exchange ended. */
+/** Result of an exchange. `written` is true if any byte of the request may have been sent. */
 export type ExchangeResult =
   | { kind: 'answered'; status: number; headers: Record<string, string | string[]>; body: Buffer }
   | { kind: 'truncated' }
   | { kind: 'too_large' }
   | { kind: 'lost'; written: boolean; cause: string };
 
-/** What is sent. */
 export interface ExchangeRequest {
   method: string;
   path: string;
@@ -29,7 +28,7 @@
 
 const kEmptyBody = Buffer.alloc(0);
 
-/** A running exchange. */
+/** An exchange in progress. */
 export class HttpExchange implements Dispatcher.DispatchHandler {
   private _written = false;
   private _settled = false;
@@ -40,10 +39,10 @@
   private _receivedBytes = 0;
 
   /**
-   * Starts an exchange.
+   * Sends the request.
    *
-   * @param _maxBytes longest answer that is taken
-   * @param _onResult called once with the end
+   * @param _maxBytes maximum size of the response body
+   * @param _onResult called exactly once
    */
   constructor(
     dispatcher: Dispatcher,
@@ -64,17 +63,17 @@
     );
   }
 
-  /** Gives the exchange up and closes its connection. */
+  /** Aborts the exchange and closes its connection. */
   abort(): void {
-    const result: ExchangeResult = { kind: 'lost', written: this._written, cause: 'given up' };
+    const result: ExchangeResult = { kind: 'lost', written: this._written, cause: 'aborted' };
     this._settle(result);
-    this._controller?.abort(new Error('given up'));
+    this._controller?.abort(new Error('aborted'));
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this._controller = controller;
     if (this._settled) {
-      controller.abort(new Error('given up'));
+      controller.abort(new Error('aborted'));
       return;
     }
     this._written = true;
@@ -93,7 +92,7 @@
     this._receivedBytes += chunk.byteLength;
     if (this._receivedBytes > this._maxBytes) {
       this._settle({ kind: 'too_large' });
-      controller.abort(new Error('answer over the limit'));
+      controller.abort(new Error('response body exceeds the limit'));
       return;
     }
     this._chunks.push(chunk);
@@ -118,7 +117,7 @@
   }
 }
 
-/** Runs an exchange to its end. */
+/** Sends a request and returns its result; aborts the exchange after `timeoutMs`. */
 export function exchange(dispatcher: Dispatcher, req: ExchangeRequest, maxBytes: number, timeoutMs: number): Promise<ExchangeResult> {
   return new Promise((resolve) => {
     const httpExchange = new HttpExchange(dispatcher, req, maxBytes, (result) => {
--- a/packages/daemon/src/client/logClient.ts
+++ b/packages/daemon/src/client/logClient.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The platform's append-only log over HTTP, see docs/LOG-INTERFACE.md. */
+/** HTTP client of the platform's append-only log, see docs/LOG-INTERFACE.md. */
 
 import type { AppendResult } from '@gentiandrum/core';
 import { appendResponseSchema, type ReadResponse, readResponseSchema } from '@gentiandrum/protocol';
@@ -15,14 +15,13 @@
 const kMaxResponseBytes = 16 * 1024 * 1024;
 const kPageSize = 1_000;
 
-/** Counts of what went to the log and came from it. */
+/** Counters of the traffic to and from the log. */
 export interface LogTraffic {
   appends: number;
   reads: number;
   bytes: number;
 }
 
-/** Client of the platform's log. */
 export class LogClient {
   readonly traffic: LogTraffic = { appends: 0, reads: 0, bytes: 0 };
 
@@ -31,7 +30,7 @@
     private readonly _pools: Pools,
   ) {}
 
-  /** Appends one record. No answer means that it may have taken effect. */
+  /** Appends one record. Returns `lost` if there is no valid response: the append may have taken effect. */
   async append(stream: string, value: unknown): Promise<AppendResult> {
     const body = Buffer.from(JSON.stringify({ value }));
     const result = await this._send('POST', `/streams/${stream}/records`, body, kAppendTimeoutMs);
@@ -44,7 +43,7 @@
     return { kind: notAppended ? 'refused' : 'lost' };
   }
 
-  /** Reads records from an offset, waiting up to `waitMs` for the first; undefined when the log doesn't answer. */
+  /** Reads records from an offset on, waiting up to `waitMs` for the first one; undefined if there is no valid response. */
   async read(stream: string, from: number, waitMs = 0): Promise<ReadResponse | undefined> {
     const path = `/streams/${stream}/records?from=${from}&wait_ms=${waitMs}&limit=${kPageSize}`;
     const result = await this._send('GET', path, Buffer.alloc(0), kReadTimeoutMs + waitMs);
--- a/packages/daemon/src/client/peerClient.ts
+++ b/packages/daemon/src/client/peerClient.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Calls to other daemons over connect. */
+/** Client of the peer service of other daemons, over Connect. A failed request yields undefined or `unreachable`. */
 
 import { create } from '@bufbuild/protobuf';
 import { type Client, createClient } from '@connectrpc/connect';
@@ -24,38 +24,37 @@
 const kClaimTimeoutMs = 2_000;
 const kMaxClients = 1_000;
 
-/** What a ping brings back. */
+/** Response to a ping. */
 export interface Pong {
   configVersion: number;
   changes: Member[];
-  /** Offers of the answering daemon at the pinging one that have no end yet. */
+  /** Offers from the responding daemon to the pinging one that have no result yet. */
   openOffers: number;
 }
 
-/** Client of the other daemons. */
 export class PeerClient {
   private readonly _agent = new Agent({ keepAlive: true, maxSockets: 4, maxFreeSockets: 1, timeout: 30_000 });
   private readonly _clients = new Map<string, Client<typeof PeerService>>();
 
-  /** Pings a daemon; undefined when it doesn't answer. */
+  /** Sends a heartbeat with membership changes. */
   async ping(address: string, msg: { from: string; to: string; configVersion: number; changes: Member[] }): Promise<Pong | undefined> {
     const req = { from: msg.from, to: msg.to, configVersion: BigInt(msg.configVersion), changes: msg.changes.map(encodeMember) };
     const res = await undefinedOnError(this._clientFor(address).ping(req, { timeoutMs: kRequestTimeoutMs }));
     return res && { configVersion: Number(res.configVersion), changes: res.changes.map(decodeMember), openOffers: res.openOffers };
   }
 
-  /** Asks for the configuration records from an offset on. */
+  /** Requests the configuration records from an offset on. */
   fetchConfig(address: string, next: number): Promise<FetchConfigResponse | undefined> {
     return undefinedOnError(this._clientFor(address).fetchConfig({ next: BigInt(next) }, { timeoutMs: kRequestTimeoutMs * 2 }));
   }
 
-  /** Asks for all members that a daemon knows. */
+  /** Requests all members that a daemon knows. */
   async fetchMembers(address: string): Promise<Member[] | undefined> {
     const res = await undefinedOnError(this._clientFor(address).fetchMembers({}, { timeoutMs: kRequestTimeoutMs }));
     return res?.members.map(decodeMember);
   }
 
-  /** Bids for a key where it is settled. */
+  /** Bids for a key at the daemon that settles it. */
   async settleKey(address: string, bid: KeyBid, incarnation: number, root: string): Promise<KeyVerdict | { kind: 'unreachable' }> {
     const res = await undefinedOnError(
       this._clientFor(address).settleKey({ bid, settlerIncarnation: BigInt(incarnation), root }, { timeoutMs: kRequestTimeoutMs }),
@@ -75,7 +74,7 @@
     }
   }
 
-  /** Has another daemon append a claim. */
+  /** Requests that another daemon append a claim. */
   async relayClaim(address: string, shard: number, record: ClaimRecord): Promise<RelayResult> {
     const claim = create(ClaimSchema, record);
     const res = await undefinedOnError(this._clientFor(address).relayClaim({ shard, claim }, { timeoutMs: kClaimTimeoutMs }));
@@ -89,7 +88,7 @@
     return { kind: 'holder', holder: { key, nonce, claimant, address: holderAddress, body } };
   }
 
-  /** Asks the claimant of a key for its answer. */
+  /** Requests the recorded response of a call from the claimant of its key, waiting up to `waitMs` for a call in flight. */
   async fetchAnswer(address: string, query: { key: string; body: string; claimant: string; waitMs: number }): Promise<FetchResult> {
     const { key, body, claimant } = query;
     const waitMs = Math.max(0, Math.floor(query.waitMs));
@@ -112,14 +111,14 @@
     }
   }
 
-  /** Tells of kinds that targets may have ended by; returns what the other daemon knows. */
+  /** Reports request fingerprints suspected of crashing targets; returns the suspects that the other daemon knows. */
   async tellSuspects(address: string, suspects: readonly Suspicion[]): Promise<Suspicion[] | undefined> {
     const encoded = suspects.map((suspicion) => ({ ...suspicion, marks: [...suspicion.marks] }));
     const res = await undefinedOnError(this._clientFor(address).tellSuspects({ suspects: encoded }, { timeoutMs: kRequestTimeoutMs }));
     return res?.suspects.map(decodeSuspicion);
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void {
     this._agent.destroy();
   }
@@ -149,7 +148,7 @@
   }
 }
 
-/** An unreachable peer is an everyday answer here, not an error. */
+/** Maps a failed request to undefined: callers expect that a peer may be unreachable. */
 async function undefinedOnError<T>(response: Promise<T>): Promise<T | undefined> {
   try {
     return await response;
--- a/packages/daemon/src/client/pools.ts
+++ b/packages/daemon/src/client/pools.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Connection pools by address. */
+/** HTTP connection pools, one for each origin. */
 
 import { Pool } from 'undici';
 
@@ -11,14 +11,13 @@
 const kConnectTimeoutMs = 1_000;
 const kMaxHeaderBytes = 65_536;
 
-/** Keeps one pool of connections for each address. */
 export class Pools {
   private readonly _pools = new Map<string, Pool>();
 
-  /** @param _connections most connections to one address */
+  /** @param _connections default maximum number of connections to one origin */
   constructor(private readonly _connections: number) {}
 
-  /** The pool for a base address such as `http://10.1.2.3:80`. */
+  /** Returns the pool for an origin such as `http://10.1.2.3:80`; creates it on first use. */
   get(origin: string, connections = this._connections): Pool {
     let pool = this._pools.get(origin);
     if (!pool) {
@@ -35,7 +34,7 @@
     return pool;
   }
 
-  /** Closes the pools whose address is not in use any more. */
+  /** Closes the pools of all other origins, each after its requests in flight. */
   retain(origins: ReadonlySet<string>): void {
     for (const [origin, pool] of this._pools) {
       if (!origins.has(origin)) {
@@ -45,7 +44,7 @@
     }
   }
 
-  /** Ends all connections. */
+  /** Closes all connections at once, also those with requests in flight. */
   async destroy(): Promise<void> {
     await Promise.all([...this._pools.values()].map((pool) => pool.destroy()));
   }
--- a/packages/daemon/src/client/streamTail.ts
+++ b/packages/daemon/src/client/streamTail.ts
@@ -3,20 +3,21 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Follows one stream of the log into something that folds it. */
+/** Reads one stream of the log and applies its records to a fold. */
 
 import type { ReadResult } from '@gentiandrum/core';
 import type { LogClient } from './logClient.js';
 
-/** What folds a stream. */
+/** State that is built from the records of a stream. */
 export interface StreamFold {
+  /** Offset of the first record that is not applied yet. */
   readonly next: number;
   apply(offset: number, value: unknown): unknown;
-  /** Told when the log dropped records before they were read. */
+  /** Called when the log removed records before they were read; `offset` is the oldest record that is left. */
   skipTo?(offset: number): void;
 }
 
-/** Reader of one stream. Reads one after the other, so that records are folded in order. */
+/** Reader of one stream. Calls of `readUpTo` are serialized so that records are applied in order. */
 export class StreamTail {
   private _reading: Promise<ReadResult> | undefined;
 
@@ -26,7 +27,7 @@
     private readonly _fold: StreamFold,
   ) {}
 
-  /** Folds the stream up to `upTo`, or to its present end. */
+  /** Applies the records up to offset `upTo`, or up to the current end of the stream. */
   async readUpTo(upTo?: number): Promise<ReadResult> {
     if (upTo !== undefined && this._fold.next > upTo) {
       return { kind: 'read' };
@@ -42,7 +43,7 @@
     return result;
   }
 
-  /** Waits up to `waitMs` for new records, and folds them. */
+  /** Waits up to `waitMs` for new records and applies them. */
   async follow(waitMs: number): Promise<ReadResult> {
     return this._readPages(undefined, waitMs);
   }
--- a/packages/daemon/src/client/targetProbe.ts
+++ b/packages/daemon/src/client/targetProbe.ts
@@ -3,17 +3,16 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Tells whether a target on this host still takes connections. */
+/** Checks whether the local target accepts TCP connections. */
 
 import { connect } from 'node:net';
 
-/** Longest wait for the connection, in milliseconds. */
 const kProbeTimeoutMs = 1_000;
 
-/** How a connection to a target came out. */
+/** Result of a connection attempt; `unknown` after a timeout or any error but a refusal. */
 export type ProbeResult = 'connected' | 'refused' | 'unknown';
 
-/** Tries one connection to a base address such as `http://10.1.2.3:80`. */
+/** Opens and closes one connection to an origin such as `http://10.1.2.3:80`. */
 export function probeTarget(url: string): Promise<ProbeResult> {
   const { hostname, port } = new URL(url);
   return new Promise((resolve) => {
