--- a/packages/daemon/src/server/callRoutes.ts
+++ b/packages/daemon/src/server/callRoutes.ts
@@ -12,54 +12,54 @@
 import type { FastifyInstance, FastifyReply, FastifyRequest } from 'fastify';
 import { verdictHeader } from '../app/callSession.js';
 import type { Daemon } from '../app/daemon.js';
-import { sendServed } from './problem.js';
-import { readBody, readOnce, readPayload, readTimeout } from './requestReader.js';
+import { sendResult } from './problem.js';
+import { readBody, readSingleHeader, readPayload, readTimeout } from './requestReader.js';
 
-const kNoId = 'none';
-const kTooLarge = 413;
+const kNoRequestId = 'none';
+const kPayloadTooLarge = 413;
 const kServerError = 500;
 /** Longest time for which the rest of a request that is too large is read off, in milliseconds. */
-const kReadOffMs = 2_000;
-const kNoBody = Buffer.alloc(0);
+const kDiscardTimeoutMs = 2_000;
+const kEmptyBody = Buffer.alloc(0);
 /** Methods beyond those that the server knows by itself. */
-const kMoreMethods = ['PROPFIND', 'PROPPATCH', 'MKCOL', 'COPY', 'MOVE', 'LOCK', 'UNLOCK', 'SEARCH', 'REPORT'];
+const kExtraMethods = ['PROPFIND', 'PROPPATCH', 'MKCOL', 'COPY', 'MOVE', 'LOCK', 'UNLOCK', 'SEARCH', 'REPORT'];
 
 /** Registers the routes. */
 export function callRoutes(app: FastifyInstance, daemon: Daemon): void {
-  for (const method of kMoreMethods) {
+  for (const method of kExtraMethods) {
     app.addHttpMethod(method, { hasBody: true });
   }
-  app.post('/-/offer', (req, reply) => takeOffer(daemon, req, reply));
+  app.post('/-/offer', (req, reply) => handleOffer(daemon, req, reply));
   app.post('/-/cancel/:attempt', (req, reply) => {
     const { attempt } = req.params as { attempt: string };
     void reply.send(daemon.offers.cancel(attempt));
   });
-  app.all('/*', (req, reply) => takeCall(daemon, req, reply));
+  app.all('/*', (req, reply) => handleCall(daemon, req, reply));
   app.setErrorHandler(async (err: { statusCode?: number; code?: string; message: string }, req, reply) => {
-    const kind = kindOfStatus(err.statusCode);
+    const kind = errorKindOf(err.statusCode);
     if (kind === 'body_too_large') {
-      await readOff(req.raw);
+      await discardBody(req.raw);
     }
     if (kind === 'internal_error') {
       daemon.logger.error('http', 'A request failed by a fault of the daemon.', { err: err.message });
     }
-    sendServed(reply, kNoId, errorResult(kind, errorResponse(kind).outcome, err.message));
+    sendResult(reply, kNoRequestId, errorResult(kind, errorResponse(kind).outcome, err.message));
     return reply;
   });
 }
 
 /** Kind of an error that the server raised itself. One without a status of the caller's is the daemon's own. */
-function kindOfStatus(status: number | undefined): 'body_too_large' | 'bad_request' | 'internal_error' {
-  if (status === kTooLarge) {
+function errorKindOf(status: number | undefined): 'body_too_large' | 'bad_request' | 'internal_error' {
+  if (status === kPayloadTooLarge) {
     return 'body_too_large';
   }
   return status !== undefined && status < kServerError ? 'bad_request' : 'internal_error';
 }
 
 /** Reads off the rest of a request for a while: a caller that is still sending would be cut before it saw the answer. */
-function readOff(req: IncomingMessage): Promise<void> {
+function discardBody(req: IncomingMessage): Promise<void> {
   return new Promise((resolve) => {
-    const timer = setTimeout(resolve, kReadOffMs);
+    const timer = setTimeout(resolve, kDiscardTimeoutMs);
     const done = (): void => {
       clearTimeout(timer);
       resolve();
@@ -69,18 +69,22 @@
   });
 }
 
-async function takeCall(daemon: Daemon, req: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
+async function handleCall(daemon: Daemon, req: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
   const badRequest = (detail: string): FastifyReply => {
-    sendServed(reply, kNoId, errorResult('bad_request', 'not_run', detail));
+    sendResult(reply, kNoRequestId, errorResult('bad_request', 'not_run', detail));
     return reply;
   };
   const body = await readBody(req, daemon.settings.limits.bodyBytes);
   if (!body) {
-    sendServed(reply, kNoId, errorResult('body_too_large', 'not_run', `Expected at most ${daemon.settings.limits.bodyBytes} bytes.`));
+    sendResult(
+      reply,
+      kNoRequestId,
+      errorResult('body_too_large', 'not_run', `Expected at most ${daemon.settings.limits.bodyBytes} bytes.`),
+    );
     return reply;
   }
   const timeout = readTimeout(req);
-  const key = readOnce(req, 'idempotency-key');
+  const key = readSingleHeader(req, 'idempotency-key');
   if (timeout.err) {
     return badRequest(timeout.val);
   }
@@ -89,48 +93,48 @@
   }
   const chain = daemon.tokens.read(req.headers);
   if (chain.kind === 'bad') {
-    sendServed(reply, kNoId, errorResult('bad_chain_token', 'not_run', 'Expected the token as the daemon gave it, whole.'));
+    sendResult(reply, kNoRequestId, errorResult('bad_chain_token', 'not_run', 'Expected the token as the daemon gave it, whole.'));
     return reply;
   }
   const { service, payload } = readPayload(req, body);
   const token = chain.kind === 'token' ? chain.token : undefined;
-  const taken = daemon.calls.take({ service, payload, key: key.val, timeoutMs: timeout.val, chain: token });
+  const accepted = daemon.calls.take({ service, payload, key: key.val, timeoutMs: timeout.val, chain: token });
   const onClose = (): void => {
     if (!reply.raw.writableEnded) {
-      taken.callerGone();
+      accepted.callerGone();
     }
   };
   reply.raw.on('close', onClose);
-  const served = await taken.served;
+  const result = await accepted.served;
   reply.raw.off('close', onClose);
-  sendServed(reply, taken.id, served);
+  sendResult(reply, accepted.id, result);
   return reply;
 }
 
-async function takeOffer(daemon: Daemon, req: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
+async function handleOffer(daemon: Daemon, req: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
   const text = req.headers[kOfferHeader];
   const head = offerHeadSchema.safeParse(typeof text === 'string' ? parseJson(text) : undefined);
   if (!head.success) {
     return reply.code(400).send('expected an offer header');
   }
   const { terms, method, path, headers, from } = head.data;
-  const body = Buffer.isBuffer(req.body) ? req.body : kNoBody;
+  const body = Buffer.isBuffer(req.body) ? req.body : kEmptyBody;
   const onClose = (): void => {
     if (!reply.raw.writableEnded) {
       daemon.offers.cancel(terms.attempt);
     }
   };
   reply.raw.on('close', onClose);
-  noteOffer(daemon, req.raw.socket, from, terms);
-  const end: OfferResult = await daemon.offers.offer(terms, { method, path, headers, body });
+  recordOffer(daemon, req.raw.socket, from, terms);
+  const result: OfferResult = await daemon.offers.offer(terms, { method, path, headers, body });
   reply.raw.off('close', onClose);
-  if (end.kind === 'refused') {
+  if (result.kind === 'refused') {
     daemon.taken.refused(req.raw.socket, terms.attempt);
   }
-  return reply.header(kVerdictHeader, verdictHeader(end)).send(end.kind === 'answered' ? end.answer.body : kNoBody);
+  return reply.header(kVerdictHeader, verdictHeader(result)).send(result.kind === 'answered' ? result.answer.body : kEmptyBody);
 }
 
-function noteOffer({ taken }: Daemon, socket: Socket, from: string, { attempt, remainingMs, idempotent }: OfferTerms): void {
+function recordOffer({ taken }: Daemon, socket: Socket, from: string, { attempt, remainingMs, idempotent }: OfferTerms): void {
   const offer = idempotent ? undefined : { attempt, deadline: monotonicMs() + remainingMs };
   if (taken.accept(socket, from, offer)) {
     socket.once('close', () => {
--- a/packages/daemon/src/server/controlController.ts
+++ b/packages/daemon/src/server/controlController.ts
@@ -48,11 +48,11 @@
   @Post('announce')
   @HttpCode(200)
   announce(@Body() body: Buffer): { state: string; intake: string } {
-    const checked = announcementSchema.safeParse(parseBody(body));
-    if (!checked.success) {
-      throw problem('bad_request', issuesText(checked.error.issues));
+    const parsed = announcementSchema.safeParse(parseBody(body));
+    if (!parsed.success) {
+      throw problemException('bad_request', formatIssues(parsed.error.issues));
     }
-    this._daemon.target.announce(checked.data);
+    this._daemon.target.announce(parsed.data);
     return { state: this._daemon.target.state, intake: this._daemon.stopping ? 'stopping' : 'open' };
   }
 
@@ -60,22 +60,22 @@
   @Post('patches')
   @HttpCode(200)
   async submit(@Body() body: Buffer): Promise<SubmitResult> {
-    const checked = patchRequestSchema.safeParse(parseBody(body));
-    if (!checked.success) {
-      throw problem('bad_request', issuesText(checked.error.issues));
+    const parsed = patchRequestSchema.safeParse(parseBody(body));
+    if (!parsed.success) {
+      throw problemException('bad_request', formatIssues(parsed.error.issues));
     }
-    const submitted = await this._daemon.config.submit(checked.data);
-    switch (submitted.kind) {
+    const result = await this._daemon.config.submit(parsed.data);
+    switch (result.kind) {
       case 'accepted':
-        return submitted;
+        return result;
       case 'conflict':
-        throw problem('patch_conflict', `Version ${submitted.current} is in force, by ${submitted.wonBy}.`, { verdict: submitted });
+        throw problemException('patch_conflict', `Version ${result.current} is in force, by ${result.wonBy}.`, { verdict: result });
       case 'invalid':
-        throw problem('patch_invalid', issuesText(submitted.issues), { verdict: submitted });
+        throw problemException('patch_invalid', formatIssues(result.issues), { verdict: result });
       case 'unavailable':
-        throw problem('log_unavailable', 'The patch was not taken.', { verdict: submitted });
+        throw problemException('log_unavailable', 'The patch was not taken.', { verdict: result });
       case 'unsettled':
-        throw problem('patch_unsettled', 'Submit it again with the same patch id.', { verdict: submitted });
+        throw problemException('patch_unsettled', 'Submit it again with the same patch id.', { verdict: result });
     }
   }
 
@@ -88,7 +88,7 @@
     }
     const entry = fold.history.find(({ version }) => version === Number(at));
     if (!entry) {
-      throw problem('bad_request', `Expected a version that is still kept, at most ${fold.version}; got "${at}".`);
+      throw problemException('bad_request', `Expected a version that is still kept, at most ${fold.version}; got "${at}".`);
     }
     return { version: entry.version, config: entry.config };
   }
@@ -143,7 +143,7 @@
   @HttpCode(200)
   release(@Param('fingerprint') fingerprint: string): { released: string } {
     if (!this._daemon.suspects.suspects.release(fingerprint)) {
-      throw problem('bad_request', `Expected a kind that something is held against, got "${fingerprint}".`);
+      throw problemException('bad_request', `Expected a kind that something is held against, got "${fingerprint}".`);
     }
     return { released: fingerprint };
   }
@@ -166,15 +166,15 @@
   try {
     return JSON.parse(Buffer.isBuffer(body) ? body.toString('utf8') : '');
   } catch {
-    throw problem('bad_request', 'Expected a JSON body.');
+    throw problemException('bad_request', 'Expected a JSON body.');
   }
 }
 
-function issuesText(issues: readonly { path: PropertyKey[] | string; message: string }[]): string {
+function formatIssues(issues: readonly { path: PropertyKey[] | string; message: string }[]): string {
   return issues.map(({ path, message }) => `${Array.isArray(path) ? path.join('.') : path}: ${message}`).join('; ');
 }
 
-function problem(kind: ErrorKind, detail: string, more: object = {}): HttpException {
+function problemException(kind: ErrorKind, detail: string, extensions: object = {}): HttpException {
   const { status, title, outcome } = errorResponse(kind);
-  return new HttpException({ type: `urn:gentiandrum:error:${kind}`, title, status, detail, kind, outcome, ...more }, status);
+  return new HttpException({ type: `urn:gentiandrum:error:${kind}`, title, status, detail, kind, outcome, ...extensions }, status);
 }
--- a/packages/daemon/src/server/main.ts
+++ b/packages/daemon/src/server/main.ts
@@ -11,7 +11,7 @@
 import { type Server, startServer } from './startServer.js';
 
 /** Time in which connections that stand are still answered, each with its end, in milliseconds. */
-const kLingerMs = 500;
+const kConnectionDrainMs = 500;
 
 /** Exit codes of the daemon. */
 export const kExit = { ok: 0, failed: 1, badSettings: 2 } as const;
@@ -73,7 +73,7 @@
   daemon.logger.info('stop', 'A planned stop begins.', { inFlight: daemon.inFlight });
   await daemon.stop();
   server.refuseConnections();
-  await new Promise((resolve) => setTimeout(resolve, kLingerMs));
+  await new Promise((resolve) => setTimeout(resolve, kConnectionDrainMs));
   await server.close();
   await daemon.close();
   process.exit(kExit.ok);
--- a/packages/daemon/src/server/peerRoutes.ts
+++ b/packages/daemon/src/server/peerRoutes.ts
@@ -34,13 +34,13 @@
       },
       fetchMembers: () => ({ members: daemon.members.view.all().map(encodeMember) }),
       fetchConfig: ({ next }) => {
-        const lacking = daemon.config.since(Number(next));
-        const records = lacking.records.map(({ offset, value }) => ({ offset: BigInt(offset), value: JSON.stringify(value) }));
-        return { next: BigInt(lacking.next), records, snapshot: lacking.snapshot };
+        const missing = daemon.config.since(Number(next));
+        const records = missing.records.map(({ offset, value }) => ({ offset: BigInt(offset), value: JSON.stringify(value) }));
+        return { next: BigInt(missing.next), records, snapshot: missing.snapshot };
       },
       relayClaim: async ({ claim }) => {
-        const claimed = claim ? await daemon.claims.claimFor(claim) : undefined;
-        return { holder: claimed?.kind === 'holder' ? claimed.holder : undefined };
+        const result = claim ? await daemon.claims.claimFor(claim) : undefined;
+        return { holder: result?.kind === 'holder' ? result.holder : undefined };
       },
       settleKey: (req) => settleKey(daemon, req),
       fetchAnswer: (req) => fetchAnswer(daemon, req),
@@ -57,10 +57,10 @@
   }
   const { settler } = daemon.calls;
   const verdict = root === '' ? settler.settleMinted(bid) : settler.settleDerived(root, bid);
-  return create(SettleKeyResponseSchema, verdictMsg(verdict));
+  return create(SettleKeyResponseSchema, encodeVerdict(verdict));
 }
 
-function verdictMsg(verdict: KeyVerdict): { verdict: Verdict; holder?: string; holderAddress?: string } {
+function encodeVerdict(verdict: KeyVerdict): { verdict: Verdict; holder?: string; holderAddress?: string } {
   switch (verdict.kind) {
     case 'granted':
       return { verdict: Verdict.GRANTED };
--- a/packages/daemon/src/server/problem.ts
+++ b/packages/daemon/src/server/problem.ts
@@ -10,9 +10,9 @@
 import type { FastifyReply } from 'fastify';
 
 /** Callers that are told to come back do so spread over this time, in seconds. */
-const kRetrySpreadSeconds = 4;
+const kRetryAfterSpreadSeconds = 4;
 /** Headers that belong to one connection, and those that the server sets itself. */
-const kDropped: ReadonlySet<string> = new Set([
+const kExcludedHeaders: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'transfer-encoding',
@@ -38,26 +38,26 @@
 }
 
 /** Sends the end of a call to its caller. */
-export function sendServed(reply: FastifyReply, id: string, served: ServeResult): void {
+export function sendResult(reply: FastifyReply, id: string, result: ServeResult): void {
   void reply.header(kRequestIdHeader, id);
-  if (served.kind === 'answer') {
-    sendAnswer(reply, served.answer);
+  if (result.kind === 'answer') {
+    sendResponse(reply, result.answer);
     return;
   }
-  sendProblem(reply, id, served);
+  sendProblem(reply, id, result);
 }
 
-function sendAnswer(reply: FastifyReply, answer: TargetResponse): void {
-  for (const [name, value] of Object.entries(answer.headers)) {
-    if (!kDropped.has(name)) {
+function sendResponse(reply: FastifyReply, response: TargetResponse): void {
+  for (const [name, value] of Object.entries(response.headers)) {
+    if (!kExcludedHeaders.has(name)) {
       void reply.header(name, value);
     }
   }
-  void reply.header(kOutcomeHeader, 'ran').code(answer.status).send(answer.body);
+  void reply.header(kOutcomeHeader, 'ran').code(response.status).send(response.body);
 }
 
-function sendProblem(reply: FastifyReply, id: string, served: Extract<ServeResult, { kind: 'error' }>): void {
-  const { error, outcome, detail, thisTryOnly } = served;
+function sendProblem(reply: FastifyReply, id: string, result: Extract<ServeResult, { kind: 'error' }>): void {
+  const { error, outcome, detail, thisTryOnly } = result;
   const { status, title, repeat, retryAfter } = errorResponse(error);
   const problem: Problem = {
     type: `urn:gentiandrum:error:${error}`,
@@ -71,7 +71,7 @@
     scope: thisTryOnly === true ? 'try' : 'request',
   };
   if (retryAfter) {
-    void reply.header('retry-after', 1 + Math.floor(Math.random() * kRetrySpreadSeconds));
+    void reply.header('retry-after', 1 + Math.floor(Math.random() * kRetryAfterSpreadSeconds));
   }
   void reply
     .header(kOutcomeHeader, outcome)
--- a/packages/daemon/src/server/problemFilter.ts
+++ b/packages/daemon/src/server/problemFilter.ts
@@ -21,14 +21,14 @@
     void reply
       .header('content-type', kProblemMediaType)
       .code(status)
-      .send(Buffer.from(JSON.stringify(bodyOf(err, status))));
+      .send(Buffer.from(JSON.stringify(problemBody(err, status))));
   }
 }
 
-function bodyOf(err: unknown, status: number): unknown {
-  const told = err instanceof HttpException ? err.getResponse() : undefined;
-  if (typeof told === 'object' && 'kind' in told) {
-    return told;
+function problemBody(err: unknown, status: number): unknown {
+  const response = err instanceof HttpException ? err.getResponse() : undefined;
+  if (typeof response === 'object' && 'kind' in response) {
+    return response;
   }
   const kind = status < kServerError ? 'bad_request' : 'internal_error';
   const { title } = errorResponse(kind);
--- a/packages/daemon/src/server/requestReader.ts
+++ b/packages/daemon/src/server/requestReader.ts
@@ -9,9 +9,9 @@
 import { kTimeoutHeader } from '@gentiandrum/protocol';
 import type { FastifyRequest } from 'fastify';
 
-const kNoBody = Buffer.alloc(0);
+const kEmptyBody = Buffer.alloc(0);
 /** Headers that belong to one connection, or that the daemon makes anew. */
-const kDropped: ReadonlySet<string> = new Set([
+const kExcludedHeaders: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -30,9 +30,9 @@
   if (Buffer.isBuffer(req.body)) {
     return req.body;
   }
-  const announced = req.headers['transfer-encoding'] !== undefined || Number(req.headers['content-length'] ?? 0) > 0;
-  if (!announced) {
-    return kNoBody;
+  const hasBody = req.headers['transfer-encoding'] !== undefined || Number(req.headers['content-length'] ?? 0) > 0;
+  if (!hasBody) {
+    return kEmptyBody;
   }
   const chunks: Buffer[] = [];
   let size = 0;
@@ -49,9 +49,9 @@
 /** Service and payload of a caller's request: the first segment of the path names the service. */
 export function readPayload(req: FastifyRequest, body: Buffer): { service: string; payload: Payload } {
   const url = req.raw.url ?? '/';
-  const end = url.slice(1).search(/[/?]/);
-  const service = end < 0 ? url.slice(1) : url.slice(1, end + 1);
-  const rest = end < 0 ? '' : url.slice(end + 1);
+  const serviceEnd = url.slice(1).search(/[/?]/);
+  const service = serviceEnd < 0 ? url.slice(1) : url.slice(1, serviceEnd + 1);
+  const rest = serviceEnd < 0 ? '' : url.slice(serviceEnd + 1);
   const path = rest.startsWith('/') ? rest : `/${rest}`;
   return { service, payload: { method: req.method, path, headers: forwardedHeaders(req), body } };
 }
@@ -69,7 +69,7 @@
 }
 
 /** One value of a header; an error when it came more than once. */
-export function readOnce(req: FastifyRequest, name: string): Result<string | undefined, string> {
+export function readSingleHeader(req: FastifyRequest, name: string): Result<string | undefined, string> {
   const count = req.raw.rawHeaders.filter((text, i) => i % 2 === 0 && text.toLowerCase() === name).length;
   const value = req.headers[name];
   return count > 1 ? Err(`expected one ${name} header, got ${count}`) : Ok(Array.isArray(value) ? value[0] : value);
@@ -78,7 +78,7 @@
 function forwardedHeaders(req: FastifyRequest): Record<string, string | string[]> {
   const headers: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(req.headers)) {
-    if (value !== undefined && !kDropped.has(name)) {
+    if (value !== undefined && !kExcludedHeaders.has(name)) {
       headers[name] = value;
     }
   }
--- a/packages/daemon/src/server/startServer.ts
+++ b/packages/daemon/src/server/startServer.ts
@@ -43,11 +43,11 @@
   const app: NestFastifyApplication = await NestFactory.create(AppModule.for(daemon), adapter, { bodyParser: false, logger: false });
   app.useGlobalFilters(new ProblemFilter());
   const fastify = adapter.getInstance<FastifyInstance>();
-  meterPeers(fastify, daemon);
-  closeWhileStopping(fastify, daemon);
+  meterPeerTraffic(fastify, daemon);
+  closeConnectionsWhileStopping(fastify, daemon);
   const unused = unusedConnections(fastify);
   await fastify.register(fastifyConnectPlugin, { routes: peerRoutes(daemon), acceptCompression: [] });
-  takeBodiesWhole(fastify);
+  parseBodiesAsBuffers(fastify);
   await fastify.register((scope, _options, done) => {
     callRoutes(scope, daemon);
     done();
@@ -68,7 +68,7 @@
 }
 
 /** Bodies are passed on as they came, whatever their type. */
-function takeBodiesWhole(fastify: FastifyInstance): void {
+function parseBodiesAsBuffers(fastify: FastifyInstance): void {
   fastify.removeAllContentTypeParsers();
   fastify.addContentTypeParser('*', { parseAs: 'buffer' }, (_req, body, done) => {
     done(null, body);
@@ -76,7 +76,7 @@
 }
 
 /** During a planned stop every answer ends its connection, so that none is in use when the server closes. */
-function closeWhileStopping(fastify: FastifyInstance, daemon: Daemon): void {
+function closeConnectionsWhileStopping(fastify: FastifyInstance, daemon: Daemon): void {
   fastify.addHook('onSend', (_req, reply, _payload, done) => {
     if (daemon.stopping) {
       void reply.header('connection', 'close');
@@ -99,7 +99,7 @@
 }
 
 /** Counts the bytes of peer messages. */
-function meterPeers(fastify: FastifyInstance, daemon: Daemon): void {
+function meterPeerTraffic(fastify: FastifyInstance, daemon: Daemon): void {
   fastify.addHook('onResponse', (req, reply, done) => {
     if (req.url.startsWith('/gentiandrum.v1.')) {
       const { bytesRead, bytesWritten } = req.raw.socket;
