--- a/packages/daemon/bin/gentiandrumd.js
+++ b/packages/daemon/bin/gentiandrumd.js
@@ -6,7 +6,7 @@
 
 import { setFlagsFromString } from 'node:v8';
 
-// A daemon shares its host with a target: memory counts for more than the last of its speed. Set before anything loads.
+// The daemon shares its host with a target, so it trades speed for a smaller heap. The flags must be set before other modules load.
 setFlagsFromString('--max-semi-space-size=2');
 setFlagsFromString('--semi-space-growth-factor=1');
 setFlagsFromString('--optimize-for-size');
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Parts of the daemon for tests, benches and examples. */
+/** Exports of the daemon for tests, benchmarks and examples. */
 
 export { Daemon } from './app/daemon.js';
 export { LocalTarget } from './app/localTarget.js';
--- a/packages/daemon/src/server/appModule.ts
+++ b/packages/daemon/src/server/appModule.ts
@@ -3,16 +3,14 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Wires the controllers to the daemon. */
+/** Nest module that provides the daemon to the controllers. */
 
 import { type DynamicModule, Module } from '@nestjs/common';
 import { Daemon } from '../app/daemon.js';
 import { ControlController } from './controlController.js';
 
-/** Module of one daemon. */
 @Module({})
 export class AppModule {
-  /** The module for a daemon. */
   static for(daemon: Daemon): DynamicModule {
     return { module: AppModule, controllers: [ControlController], providers: [{ provide: Daemon, useValue: daemon }] };
   }
--- a/packages/daemon/src/server/callRoutes.ts
+++ b/packages/daemon/src/server/callRoutes.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Routes that carry calls: from callers and targets to any service, and offers between daemons. */
+/** HTTP routes for calls: requests from callers and targets to any service, and offers from other daemons. */
 
 import { offerHeadSchema, kOfferHeader, kVerdictHeader, type OfferTerms } from '@gentiandrum/protocol';
 import { errorResponse, errorResult, monotonicMs, type OfferResult } from '@gentiandrum/core';
@@ -18,13 +18,12 @@
 const kNoRequestId = 'none';
 const kPayloadTooLarge = 413;
 const kServerError = 500;
-/** Longest time for which the rest of a request that is too large is read off, in milliseconds. */
+/** Maximum time for which the rest of an oversized request is read and discarded, in milliseconds. */
 const kDiscardTimeoutMs = 2_000;
 const kEmptyBody = Buffer.alloc(0);
-/** Methods beyond those that the server knows by itself. */
+/** Methods that Fastify does not support by default. */
 const kExtraMethods = ['PROPFIND', 'PROPPATCH', 'MKCOL', 'COPY', 'MOVE', 'LOCK', 'UNLOCK', 'SEARCH', 'REPORT'];
 
-/** Registers the routes. */
 export function callRoutes(app: FastifyInstance, daemon: Daemon): void {
   for (const method of kExtraMethods) {
     app.addHttpMethod(method, { hasBody: true });
@@ -41,14 +40,14 @@
       await discardBody(req.raw);
     }
     if (kind === 'internal_error') {
-      daemon.logger.error('http', 'A request failed by a fault of the daemon.', { err: err.message });
+      daemon.logger.error('http', 'Request failed with an internal error.', { err: err.message });
     }
     sendResult(reply, kNoRequestId, errorResult(kind, errorResponse(kind).outcome, err.message));
     return reply;
   });
 }
 
-/** Kind of an error that the server raised itself. One without a status of the caller's is the daemon's own. */
+/** Maps the status of an error raised by the HTTP server to an error kind; any status but 4xx is an internal error. */
 function errorKindOf(status: number | undefined): 'body_too_large' | 'bad_request' | 'internal_error' {
   if (status === kPayloadTooLarge) {
     return 'body_too_large';
@@ -56,7 +55,7 @@
   return status !== undefined && status < kServerError ? 'bad_request' : 'internal_error';
 }
 
-/** Reads off the rest of a request for a while: a caller that is still sending would be cut before it saw the answer. */
+/** Discards the rest of a request body, so that a caller that is still sending can receive the response before the connection closes. */
 function discardBody(req: IncomingMessage): Promise<void> {
   return new Promise((resolve) => {
     const timer = setTimeout(resolve, kDiscardTimeoutMs);
@@ -79,7 +78,7 @@
     sendResult(
       reply,
       kNoRequestId,
-      errorResult('body_too_large', 'not_run', `Expected at most ${daemon.settings.limits.bodyBytes} bytes.`),
+      errorResult('body_too_large', 'not_run', `Expected a body of at most ${daemon.settings.limits.bodyBytes} bytes.`),
     );
     return reply;
   }
@@ -93,7 +92,7 @@
   }
   const chain = daemon.tokens.read(req.headers);
   if (chain.kind === 'bad') {
-    sendResult(reply, kNoRequestId, errorResult('bad_chain_token', 'not_run', 'Expected the token as the daemon gave it, whole.'));
+    sendResult(reply, kNoRequestId, errorResult('bad_chain_token', 'not_run', 'Expected the chain token exactly as the daemon issued it.'));
     return reply;
   }
   const { service, payload } = readPayload(req, body);
@@ -115,7 +114,7 @@
   const text = req.headers[kOfferHeader];
   const head = offerHeadSchema.safeParse(typeof text === 'string' ? parseJson(text) : undefined);
   if (!head.success) {
-    return reply.code(400).send('expected an offer header');
+    return reply.code(400).send('expected a valid gentiandrum-offer header');
   }
   const { terms, method, path, headers, from } = head.data;
   const body = Buffer.isBuffer(req.body) ? req.body : kEmptyBody;
--- a/packages/daemon/src/server/controlController.ts
+++ b/packages/daemon/src/server/controlController.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Requests of operators and targets, below `/-/`. */
+/** Control requests of operators and targets, below `/-/`. */
 
 import { Body, Controller, Get, Header, HttpCode, HttpException, Inject, Param, Post, Query } from '@nestjs/common';
 import { errorResponse, type ErrorKind, kOpenLevel, type ListedSuspect, type Member, type SubmitResult, wallMs } from '@gentiandrum/core';
@@ -13,7 +13,7 @@
 
 const kMicrosPerMs = 1_000;
 
-/** Status of a daemon and what it knows of the others. */
+/** State of a daemon, and the members that it knows. */
 export interface StatusReport {
   daemon: string;
   zone: string;
@@ -23,28 +23,27 @@
   gate?: { inFlight: number; queued: number; limit: number; level: number; closed?: string };
   openLevel: number;
   memoryBytes: number;
-  /** Memory of the JavaScript heap that is in use. */
+  /** Used size of the JavaScript heap. */
   heapBytes: number;
-  /** Processor time of the whole process since its start, in milliseconds. */
+  /** CPU time of the process since its start, in milliseconds. */
   cpuMs: number;
   control: { bytes: number; appends: number; reads: number; uptimeMs: number };
 }
 
-/** What a daemon tells of itself. */
+/** A daemon's report about itself alone. */
 export interface SelfReport {
   id: string;
   version: number;
   level: number;
 }
 
-/** Controls of one daemon. */
 @Controller('-')
 export class ControlController {
   private readonly _startedAt = wallMs();
 
   constructor(@Inject(Daemon) private readonly _daemon: Daemon) {}
 
-  /** A target's announcement. */
+  /** Handles the announcement of the local target. */
   @Post('announce')
   @HttpCode(200)
   announce(@Body() body: Buffer): { state: string; intake: string } {
@@ -56,7 +55,7 @@
     return { state: this._daemon.target.state, intake: this._daemon.stopping ? 'stopping' : 'open' };
   }
 
-  /** An operator's patch. */
+  /** Submits an operator's patch of the configuration. */
   @Post('patches')
   @HttpCode(200)
   async submit(@Body() body: Buffer): Promise<SubmitResult> {
@@ -73,13 +72,15 @@
       case 'invalid':
         throw problemException('patch_invalid', formatIssues(result.issues), { verdict: result });
       case 'unavailable':
-        throw problemException('log_unavailable', 'The patch was not taken.', { verdict: result });
+        throw problemException('log_unavailable', 'The log is unavailable; the patch was not applied.', { verdict: result });
       case 'unsettled':
-        throw problemException('patch_unsettled', 'Submit it again with the same patch id.', { verdict: result });
+        throw problemException('patch_unsettled', 'The outcome is unknown; submit the patch again with the same patch id.', {
+          verdict: result,
+        });
     }
   }
 
-  /** The configuration, now or at an earlier version. */
+  /** Returns the configuration, current or at an earlier version. */
   @Get('config')
   getConfig(@Query('at') at?: string): { version: number; config: unknown } {
     const { fold } = this._daemon.config;
@@ -93,13 +94,13 @@
     return { version: entry.version, config: entry.config };
   }
 
-  /** The latest versions. */
+  /** Lists the latest versions of the configuration. */
   @Get('history')
   history(): { versions: { version: number; author: string; patchId: string }[] } {
     return { versions: this._daemon.config.fold.history.map(({ version, author, patchId }) => ({ version, author, patchId })) };
   }
 
-  /** Status of this daemon and what it knows of the others. */
+  /** Returns the state of this daemon, and the members that it knows. */
   @Get('status')
   status(): StatusReport {
     const { settings, config, members, target, meter, stopping } = this._daemon;
@@ -119,36 +120,36 @@
     };
   }
 
-  /** What this daemon alone can tell of itself; the client asks every daemon for it. */
+  /** Returns the state that only this daemon knows; the command-line client requests it from every daemon. */
   @Get('self')
   self(): SelfReport {
     const { settings, config, target } = this._daemon;
     return { id: settings.id, version: config.fold.version, level: target.gate?.level ?? kOpenLevel };
   }
 
-  /** The decisions made for a request here. */
+  /** Lists the decisions that this daemon made for a request. */
   @Get('decisions/:request')
   decisions(@Param('request') request: string): { request: string; decisions: LoggedDecision[] } {
     return { request, decisions: this._daemon.decisions.of(request) };
   }
 
-  /** Kinds of calls that targets ended by. */
+  /** Lists request fingerprints that are suspected of crashing targets. */
   @Get('suspects')
   suspects(): { suspects: ListedSuspect[] } {
     return { suspects: this._daemon.suspects.suspects.list() };
   }
 
-  /** Lets a kind run again. */
+  /** Releases a request fingerprint from suspicion and quarantine. */
   @Post('suspects/:fingerprint/release')
   @HttpCode(200)
   release(@Param('fingerprint') fingerprint: string): { released: string } {
     if (!this._daemon.suspects.suspects.release(fingerprint)) {
-      throw problemException('bad_request', `Expected a kind that something is held against, got "${fingerprint}".`);
+      throw problemException('bad_request', `Expected the fingerprint of a suspect that is not released, got "${fingerprint}".`);
     }
     return { released: fingerprint };
   }
 
-  /** A namespace for a caller's numbered idempotency keys. */
+  /** Opens a namespace for a caller's numbered idempotency keys. */
   @Post('namespaces')
   @HttpCode(200)
   @Header('cache-control', 'no-store')
--- a/packages/daemon/src/server/main.ts
+++ b/packages/daemon/src/server/main.ts
@@ -10,18 +10,18 @@
 import { faultText, loadSettings } from '../app/loadSettings.js';
 import { type Server, startServer } from './startServer.js';
 
-/** Time in which connections that stand are still answered, each with its end, in milliseconds. */
+/** Time for which open connections are still served before the server closes, in milliseconds. */
 const kConnectionDrainMs = 500;
 
 /** Exit codes of the daemon. */
 export const kExit = { ok: 0, failed: 1, badSettings: 2 } as const;
 
-/** Runs the daemon with the process's arguments. */
+/** Parses the arguments and runs the daemon; sets the exit code if the arguments or settings are invalid. */
 export async function main(argv: string[]): Promise<void> {
   const cli = cac('gentiandrumd');
   cli.usage('--settings FILE.yaml [--check]');
-  cli.option('--settings <file>', 'Settings of this daemon, YAML');
-  cli.option('--check', 'Only check the settings');
+  cli.option('--settings <file>', 'YAML file with the settings of this daemon');
+  cli.option('--check', 'Check the settings and exit');
   cli.example('  gentiandrumd --settings /etc/gentiandrum/daemon.yaml');
   cli.help();
   const { options } = cli.parse(argv, { run: false });
@@ -56,13 +56,13 @@
   const onSignal = (): void => {
     signals++;
     if (signals > 1) {
-      daemon.logger.warn('stop', `Stopped at once by a second signal; cut ${daemon.inFlight} calls.`, { cut: daemon.inFlight });
+      daemon.logger.warn('stop', `Second signal received; exiting with ${daemon.inFlight} calls in flight.`, { cut: daemon.inFlight });
       process.exit(kExit.failed);
     }
     void stop(daemon, server);
   };
   process.on('unhandledRejection', (err) => {
-    daemon.logger.error('start', 'A fault of the daemon was not handled.', { err: err instanceof Error ? err.stack : String(err) });
+    daemon.logger.error('start', 'Unhandled promise rejection.', { err: err instanceof Error ? err.stack : String(err) });
   });
   process.on('SIGTERM', onSignal);
   process.on('SIGINT', onSignal);
@@ -70,7 +70,7 @@
 }
 
 async function stop(daemon: Daemon, server: Server): Promise<void> {
-  daemon.logger.info('stop', 'A planned stop begins.', { inFlight: daemon.inFlight });
+  daemon.logger.info('stop', 'Planned stop started.', { inFlight: daemon.inFlight });
   await daemon.stop();
   server.refuseConnections();
   await new Promise((resolve) => setTimeout(resolve, kConnectionDrainMs));
--- a/packages/daemon/src/server/peerRoutes.ts
+++ b/packages/daemon/src/server/peerRoutes.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What this daemon offers the others over connect. */
+/** Server side of the peer service, over Connect. */
 
 import { create } from '@bufbuild/protobuf';
 import type { ConnectRouter } from '@connectrpc/connect';
@@ -20,7 +20,7 @@
 import type { Daemon } from '../app/daemon.js';
 import { decodeMember, decodeSuspicion, encodeMember, encodeServed } from '../app/peerCodec.js';
 
-/** Registers the peer service. */
+/** Routes of the peer service of a daemon. */
 export function peerRoutes(daemon: Daemon): (router: ConnectRouter) => void {
   return (router) => {
     router.service(PeerService, {
--- a/packages/daemon/src/server/problem.ts
+++ b/packages/daemon/src/server/problem.ts
@@ -3,15 +3,15 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Answers to callers: whole answers of targets, and errors as problem+json (RFC 9457) from the one table. */
+/** Responses to callers: responses of targets, and errors as problem+json (RFC 9457). */
 
 import { errorResponse, type TargetResponse, type ErrorKind, type ServeResult } from '@gentiandrum/core';
 import { kOutcomeHeader, kProblemMediaType, kRequestIdHeader } from '@gentiandrum/protocol';
 import type { FastifyReply } from 'fastify';
 
-/** Callers that are told to come back do so spread over this time, in seconds. */
+/** Range over which `Retry-After` values are spread, so that callers do not all retry at once, in seconds. */
 const kRetryAfterSpreadSeconds = 4;
-/** Headers that belong to one connection, and those that the server sets itself. */
+/** Response headers that are not forwarded: hop-by-hop headers, and those that the server sets itself. */
 const kExcludedHeaders: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -22,7 +22,7 @@
   'te',
 ]);
 
-/** Body of an error answer. */
+/** Body of an error response. */
 export interface Problem {
   type: string;
   title: string;
@@ -33,11 +33,11 @@
   kind: ErrorKind;
   outcome: string;
   repeatable: boolean;
-  /** `try` where `not_run` speaks of this try alone, and an earlier one under the same key may have run. */
+  /** `try` if `not_run` applies to this try only and an earlier one with the same key may have run. */
   scope: 'request' | 'try';
 }
 
-/** Sends the end of a call to its caller. */
+/** Sends the result of a call to its caller. */
 export function sendResult(reply: FastifyReply, id: string, result: ServeResult): void {
   void reply.header(kRequestIdHeader, id);
   if (result.kind === 'answer') {
--- a/packages/daemon/src/server/problemFilter.ts
+++ b/packages/daemon/src/server/problemFilter.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Errors of control requests as problem+json. */
+/** Formats errors of control requests as problem+json. */
 
 import { type ArgumentsHost, Catch, type ExceptionFilter, HttpException } from '@nestjs/common';
 import { errorResponse } from '@gentiandrum/core';
@@ -12,7 +12,6 @@
 
 const kServerError = 500;
 
-/** Answers every error of a control request. */
 @Catch()
 export class ProblemFilter implements ExceptionFilter {
   catch(err: unknown, host: ArgumentsHost): void {
--- a/packages/daemon/src/server/requestReader.ts
+++ b/packages/daemon/src/server/requestReader.ts
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Reads what HTTP brings into what the core takes. */
+/** Converts HTTP requests into the input of the core. */
 
 import { Err, Ok, type Payload, type Result } from '@gentiandrum/core';
 import { kTimeoutHeader } from '@gentiandrum/protocol';
 import type { FastifyRequest } from 'fastify';
 
 const kEmptyBody = Buffer.alloc(0);
-/** Headers that belong to one connection, or that the daemon makes anew. */
+/** Request headers that are not forwarded: hop-by-hop headers, and those that the daemon sets itself. */
 const kExcludedHeaders: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -25,7 +25,7 @@
   kTimeoutHeader,
 ]);
 
-/** The request's body; GET and HEAD requests with a body are read here, since the server leaves theirs alone. */
+/** Returns the request body, or undefined if it exceeds `maxBytes`. Reads it from the stream if Fastify did not, as for GET and HEAD. */
 export async function readBody(req: FastifyRequest, maxBytes: number): Promise<Buffer | undefined> {
   if (Buffer.isBuffer(req.body)) {
     return req.body;
@@ -46,7 +46,7 @@
   return Buffer.concat(chunks);
 }
 
-/** Service and payload of a caller's request: the first segment of the path names the service. */
+/** Splits a caller's request into service and payload; the first path segment names the service. */
 export function readPayload(req: FastifyRequest, body: Buffer): { service: string; payload: Payload } {
   const url = req.raw.url ?? '/';
   const serviceEnd = url.slice(1).search(/[/?]/);
@@ -56,7 +56,7 @@
   return { service, payload: { method: req.method, path, headers: forwardedHeaders(req), body } };
 }
 
-/** Time that the caller allows, in milliseconds. */
+/** Timeout that the caller requests, in milliseconds. */
 export function readTimeout(req: FastifyRequest): Result<number | undefined, string> {
   const text = req.headers[kTimeoutHeader];
   if (text === undefined) {
@@ -65,10 +65,10 @@
   const ms = Number(text);
   return Number.isInteger(ms) && ms > 0
     ? Ok(ms)
-    : Err(`expected ${kTimeoutHeader} to be a whole number of milliseconds over 0, got "${String(text)}"`);
+    : Err(`expected ${kTimeoutHeader} to be a positive whole number of milliseconds, got "${String(text)}"`);
 }
 
-/** One value of a header; an error when it came more than once. */
+/** Returns the value of a header; an error if the header occurs more than once. */
 export function readSingleHeader(req: FastifyRequest, name: string): Result<string | undefined, string> {
   const count = req.raw.rawHeaders.filter((text, i) => i % 2 === 0 && text.toLowerCase() === name).length;
   const value = req.headers[name];
--- a/packages/daemon/src/server/startServer.ts
+++ b/packages/daemon/src/server/startServer.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Starts the HTTP side of a daemon. */
+/** Starts the HTTP server of a daemon. */
 
 import 'reflect-metadata';
 import { fastifyConnectPlugin } from '@connectrpc/connect-fastify';
@@ -23,13 +23,13 @@
 
 /** A listening server. */
 export interface Server {
-  /** Takes no new connections; those that stand are served on. */
+  /** Stops accepting connections; open ones are still served. */
   refuseConnections(): void;
-  /** Closes what connections are left. */
+  /** Closes the remaining connections. */
   close(): Promise<void>;
 }
 
-/** Listens on the address of the daemon's settings. */
+/** Listens on the address from the daemon's settings. */
 export async function startServer(daemon: Daemon): Promise<Server> {
   const adapter = new FastifyAdapter({
     bodyLimit: daemon.settings.limits.bodyBytes,
@@ -56,18 +56,18 @@
   await app.listen(Number(port), host ?? '');
   return {
     refuseConnections: () => {
-      // The server's own close would also cut idle connections, on which a request may be on its way.
+      // `http.Server.close` would also close idle connections, on which a request may be in transit.
       NetServer.prototype.close.call(fastify.server);
     },
     close: async () => {
-      // The server would wait for them as for requests; with one it was still there after 20 s.
+      // The server would wait for connections that have not carried a request yet.
       unused.forEach((socket) => socket.destroy());
       await app.close();
     },
   };
 }
 
-/** Bodies are passed on as they came, whatever their type. */
+/** Parses bodies of every content type as buffers, so that they are forwarded unchanged. */
 function parseBodiesAsBuffers(fastify: FastifyInstance): void {
   fastify.removeAllContentTypeParsers();
   fastify.addContentTypeParser('*', { parseAs: 'buffer' }, (_req, body, done) => {
@@ -75,7 +75,7 @@
   });
 }
 
-/** During a planned stop every answer ends its connection, so that none is in use when the server closes. */
+/** Adds `Connection: close` to every response during a planned stop, so that no connection is in use when the server closes. */
 function closeConnectionsWhileStopping(fastify: FastifyInstance, daemon: Daemon): void {
   fastify.addHook('onSend', (_req, reply, _payload, done) => {
     if (daemon.stopping) {
@@ -85,7 +85,7 @@
   });
 }
 
-/** Connections that no request came over yet, kept up to date. */
+/** Returns a live set of the connections that have not carried a request yet. */
 function unusedConnections(fastify: FastifyInstance): ReadonlySet<Socket> {
   const unused = new Set<Socket>();
   fastify.server.on('connection', (socket: Socket) => {
@@ -98,7 +98,7 @@
   return unused;
 }
 
-/** Counts the bytes of peer messages. */
+/** Counts the bytes of peer messages in the control meter. */
 function meterPeerTraffic(fastify: FastifyInstance, daemon: Daemon): void {
   fastify.addHook('onResponse', (req, reply, done) => {
     if (req.url.startsWith('/gentiandrum.v1.')) {
