--- a/tests/e2e/commandLine.spec.ts
+++ b/tests/e2e/commandLine.spec.ts
@@ -95,15 +95,15 @@
 
   itAlone('should bound the bodies in flight, and refuse the rest as not run', async (t) => {
     await fleet.setBehaviour('b1', { workMs: 300 });
-    const sent = Array.from({ length: 6 }, (_, i) =>
+    const pending = Array.from({ length: 6 }, (_, i) =>
       fetch(`http://${fleet.host('b1').address}/beta/big`, {
         method: 'POST',
         body: 'x'.repeat(400_000),
         headers: { 'x-call': `big-${i}` },
       }),
     );
-    const ends = await Promise.all(sent);
-    const refused = ends.filter(({ status }) => status === 503);
+    const responses = await Promise.all(pending);
+    const refused = responses.filter(({ status }) => status === 503);
     t.is(refused.length, 4);
     t.true(refused.every(({ headers }) => headers.get('gentiandrum-outcome') === 'not_run' && headers.get('retry-after') !== null));
     await fleet.setBehaviour('b1', { workMs: 1 });
@@ -121,37 +121,42 @@
 });
 
 describe('gentiandrum', () => {
-  const cases: { title: string; args: string[]; input?: unknown; code: number; says: RegExp }[] = [
-    { title: 'no command', args: [], code: 2, says: /expected a command, got none/ },
-    { title: 'an unknown command', args: ['aply'], code: 2, says: /expected a command, got "aply"/ },
-    { title: 'a missing argument', args: ['apply'], code: 2, says: /missing required args/ },
-    { title: 'an unknown option', args: ['status', '--fast'], code: 2, says: /Unknown option/ },
-    { title: 'a missing base', args: ['apply', 'FILE'], code: 2, says: /expected --base to be a whole number, got nothing/ },
-    { title: 'a base that is no number', args: ['apply', 'FILE', '--base', 'x'], code: 2, says: /got "x"/ },
-    { title: 'a patch that is no map', args: ['apply', 'FILE', '--base', '1'], input: [1], code: 2, says: /a map of settings/ },
+  const cases: { title: string; args: string[]; input?: unknown; code: number; pattern: RegExp }[] = [
+    { title: 'no command', args: [], code: 2, pattern: /expected a command, got none/ },
+    { title: 'an unknown command', args: ['aply'], code: 2, pattern: /expected a command, got "aply"/ },
+    { title: 'a missing argument', args: ['apply'], code: 2, pattern: /missing required args/ },
+    { title: 'an unknown option', args: ['status', '--fast'], code: 2, pattern: /Unknown option/ },
+    { title: 'a missing base', args: ['apply', 'FILE'], code: 2, pattern: /expected --base to be a whole number, got nothing/ },
+    { title: 'a base that is no number', args: ['apply', 'FILE', '--base', 'x'], code: 2, pattern: /got "x"/ },
+    { title: 'a patch that is no map', args: ['apply', 'FILE', '--base', '1'], input: [1], code: 2, pattern: /a map of settings/ },
     {
       title: 'a patch against an old version',
       args: ['apply', 'FILE', '--base', '0'],
       code: 3,
-      says: /patch_conflict: Version 1 is in force/,
+      pattern: /patch_conflict: Version 1 is in force/,
     },
     {
       title: 'a patch that gives an invalid configuration',
       args: ['apply', 'FILE', '--base', '1'],
       input: { retryRatio: 7 },
       code: 2,
-      says: /retryRatio/,
+      pattern: /retryRatio/,
     },
-    { title: 'a daemon that is not there', args: ['status', '--daemon', '127.0.0.1:1'], code: 4, says: /expected a daemon at 127.0.0.1:1/ },
-    { title: 'a version that is not kept', args: ['get', '--at', '99'], code: 1, says: /Expected a version that is still kept/ },
-    { title: 'an unknown request', args: ['explain', 'x~1~1'], code: 1, says: /no daemon has decisions for it/ },
-    { title: 'a missing file', args: ['validate', '/nowhere.yaml'], code: 2, says: /expected a readable YAML file/ },
+    {
+      title: 'a daemon that is not there',
+      args: ['status', '--daemon', '127.0.0.1:1'],
+      code: 4,
+      pattern: /expected a daemon at 127.0.0.1:1/,
+    },
+    { title: 'a version that is not kept', args: ['get', '--at', '99'], code: 1, pattern: /Expected a version that is still kept/ },
+    { title: 'an unknown request', args: ['explain', 'x~1~1'], code: 1, pattern: /no daemon has decisions for it/ },
+    { title: 'a missing file', args: ['validate', '/nowhere.yaml'], code: 2, pattern: /expected a readable YAML file/ },
   ];
-  for (const { title, args, input, code, says } of cases) {
+  for (const { title, args, input, code, pattern } of cases) {
     itAlone(`should answer ${title} with exit code ${code} and a plain line`, async (t) => {
       const run = await fleet.client(args, input);
       t.is(run.code, code, run.err);
-      t.regex(run.err, says);
+      t.regex(run.err, pattern);
       t.false(run.err.includes('    at '));
     });
   }
--- a/tests/e2e/faults.spec.ts
+++ b/tests/e2e/faults.spec.ts
@@ -32,21 +32,21 @@
   fleet.stop();
 });
 
-const kPlain = { workMs: 1, failures: 0, truncate: 0, drop: 0, slots: 50, accepting: true };
+const kDefaultBehaviour = { workMs: 1, failures: 0, truncate: 0, drop: 0, slots: 50, accepting: true };
 
 test.beforeEach(async () => {
   await fleet.setLogFaults({});
-  await Promise.all(['a1', 'b1', 'b2'].map((id) => fleet.setBehaviour(id, kPlain)));
+  await Promise.all(['a1', 'b1', 'b2'].map((id) => fleet.setBehaviour(id, kDefaultBehaviour)));
 });
 
-interface Answer {
+interface CallResult {
   status: number;
   outcome: string | null;
   retryAfter: string | null;
   kind: string | undefined;
 }
 
-async function send(host: string, path: string, call: string, init: RequestInit = {}): Promise<Answer> {
+async function send(host: string, path: string, call: string, init: RequestInit = {}): Promise<CallResult> {
   const res = await fetch(`http://${fleet.host(host).address}${path}`, {
     ...init,
     headers: { 'x-call': call, ...(init.headers as Record<string, string> | undefined) },
@@ -86,20 +86,20 @@
 
   itAlone('should let a late whole answer win when the competing attempt fails', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { workMs: 400 })));
-    const sent = send('a1', '/beta/competing/x', 'late');
+    const pending = send('a1', '/beta/competing/x', 'late');
     await until('both attempts run', async () => (await fleet.totalRuns('late')) === 2);
     const second = (await fleet.runsOf('b1')).late === undefined ? 'b1' : 'b2';
     await fleet.setBehaviour(second, { drop: 1 });
-    t.is((await sent).status, 200);
+    t.is((await pending).status, 200);
   });
 
   itAlone('should hear that the caller hung up', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { workMs: 500 })));
     const aborter = new AbortController();
-    const sent = send('a1', '/beta/x', 'hung-up', { signal: aborter.signal });
+    const pending = send('a1', '/beta/x', 'hung-up', { signal: aborter.signal });
     await until('the call runs', async () => (await fleet.totalRuns('hung-up')) === 1);
     aborter.abort();
-    await t.throwsAsync(sent, { any: true });
+    await t.throwsAsync(pending, { any: true });
     const cancelled = async (id: string): Promise<number> => {
       const res = await fetch(`${fleet.host(id).targetUrl}/-/counts`);
       return ((await res.json()) as { cancelled: number }).cancelled;
@@ -159,12 +159,12 @@
 describe('a daemon', () => {
   itAlone('should never let a hold run twice when it is paused past every deadline', async (t) => {
     const paused = fleet.host('b1').daemon;
-    const sent = send('b1', '/beta/holds', 'paused', { ...hold('paused'), signal: AbortSignal.timeout(15_000) }).catch(() => undefined);
+    const pending = send('b1', '/beta/holds', 'paused', { ...hold('paused'), signal: AbortSignal.timeout(15_000) }).catch(() => undefined);
     paused.kill('SIGSTOP');
     const elsewhere = await send('b2', '/beta/holds', 'paused', hold('paused'));
     await new Promise((resolve) => setTimeout(resolve, 6_000));
     paused.kill('SIGCONT');
-    await sent;
+    await pending;
     await fleet.untilTargets('beta', 2);
     const again = await send('b1', '/beta/holds', 'paused', hold('paused'));
     t.log(`elsewhere ${elsewhere.status}, again ${again.status}`);
@@ -177,12 +177,15 @@
     const holds = Array.from({ length: 6 }, (_, i) => send('a1', '/beta/holds', `killed-hold-${i}`, { method: 'POST' }));
     await until('calls run at b2', async () => Object.keys(await fleet.runsOf('b2')).some((call) => call.startsWith('killed')));
     fleet.host('b2').daemon.kill('SIGKILL');
-    const [readEnds, holdEnds] = await Promise.all([Promise.all(reads), Promise.all(holds)]);
-    t.deepEqual([...new Set(readEnds.map(({ status }) => status))], [200]);
-    for (const [i, end] of holdEnds.entries()) {
+    const [readResults, holdResults] = await Promise.all([Promise.all(reads), Promise.all(holds)]);
+    t.deepEqual([...new Set(readResults.map(({ status }) => status))], [200]);
+    for (const [i, result] of holdResults.entries()) {
       const runs = await fleet.totalRuns(`killed-hold-${i}`);
       t.true(runs <= 1);
-      t.true(end.status === 200 || end.outcome === 'unknown' || runs === 0, `${end.status} ${end.outcome ?? ''} after ${runs} runs`);
+      t.true(
+        result.status === 200 || result.outcome === 'unknown' || runs === 0,
+        `${result.status} ${result.outcome ?? ''} after ${runs} runs`,
+      );
     }
   });
 
--- a/tests/e2e/path.spec.ts
+++ b/tests/e2e/path.spec.ts
@@ -43,13 +43,13 @@
 
   itAlone('should pass bodies of any size and get each back whole', async (t) => {
     const sizes = [0, 1, 1_000, 100_000, 1_048_576];
-    const answers = await Promise.all(
+    const lengths = await Promise.all(
       sizes.map(async (size) => {
         const res = await send('a1', '/beta/holds', { method: 'POST', body: 'x'.repeat(size) });
         return (await res.text()).length;
       }),
     );
-    t.deepEqual(answers, sizes);
+    t.deepEqual(lengths, sizes);
   });
 
   itAlone('should be explained by its id', async (t) => {
