--- a/bench/bodies/main.ts
+++ b/bench/bodies/main.ts
@@ -74,7 +74,7 @@
 });
 const fleet = await Fleet.start([host('a1', 'east', 0), host('a2', 'east', 7), host('a3', 'west', 20)], { logLevel: 'warn' });
 try {
-  await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
+  await fleet.runCli(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
   await fleet.untilTargets('alpha', 3);
   const pools = [...fleet.hosts.values()].map(({ address }) => new Pool(`http://${address}`, { connections: kAtOnce }));
   const counts: Counts = { equal: 0, crossed: 0, refused: 0, lost: 0 };
--- a/bench/control/main.ts
+++ b/bench/control/main.ts
@@ -60,7 +60,7 @@
     const group = Array.from({ length: Math.min(kStartAtOnce, size - i) }, (_, j) => fleet.startHost(plan(i + j, service), settings));
     await Promise.all(group);
   }
-  const applied = await fleet.client(['apply', 'FILE', '--base', '0'], kSampleConfig);
+  const applied = await fleet.runCli(['apply', 'FILE', '--base', '0'], kSampleConfig);
   if (applied.code !== 0) {
     throw new Error(applied.err);
   }
--- a/bench/hop/main.ts
+++ b/bench/hop/main.ts
@@ -66,7 +66,7 @@
     { id: 'b1', zone: 'east', service: 'alpha', behaviour: { workMs: 0, slots: 1_000, echo: true } },
   ]);
   try {
-    await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
+    await fleet.runCli(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
     await fleet.untilTargets('alpha', 1);
     const direct = new Pool(fleet.host('b1').targetUrl, { connections: 32 });
     const layer = new Pool(`http://${fleet.host('a1').address}`, { connections: 32 });
--- a/examples/demo.ts
+++ b/examples/demo.ts
@@ -56,12 +56,12 @@
 
   private async _configure(): Promise<void> {
     say('Submitting the configuration against version 0, and a racing patch against the same version.');
-    const first = await this._fleet.client(
+    const first = await this._fleet.runCli(
       ['apply', 'FILE', '--base', '0', '--wait', '--author', 'dispatcher'],
       parse(readFileSync(kConfig, 'utf8')),
     );
     say(indent(first.out + first.err));
-    const second = await this._fleet.client(['apply', 'FILE', '--base', '0', '--author', 'other'], { retryRatio: 0.2 });
+    const second = await this._fleet.runCli(['apply', 'FILE', '--base', '0', '--author', 'other'], { retryRatio: 0.2 });
     say(indent(second.out + second.err));
     this._find(
       'an accepted configuration is in force everywhere, and one of two racing patches wins',
@@ -73,7 +73,7 @@
       this._fleet.untilTargets('defects', 3),
       this._fleet.untilTargets('hazards', 3),
     ]);
-    say(indent((await this._fleet.client(['status'])).out));
+    say(indent((await this._fleet.runCli(['status'])).out));
   }
 
   private async _chain(): Promise<void> {
@@ -145,7 +145,7 @@
 
   private async _drain(): Promise<void> {
     say('Draining one target of hazards.');
-    const drained = await this._fleet.client(['drain', 'hazards-1-target', '--wait']);
+    const drained = await this._fleet.runCli(['drain', 'hazards-1-target', '--wait']);
     const before = Object.values(await this._fleet.runsOf('hazards-1')).reduce((a, b) => a + b, 0);
     const answers = await Promise.all(Array.from({ length: 60 }, (_, i) => this._call('GET', `/hazards/lookup/${i}`, 'drain', i % 9)));
     const after = Object.values(await this._fleet.runsOf('hazards-1')).reduce((a, b) => a + b, 0);
@@ -158,7 +158,7 @@
   }
 
   private async _stop(): Promise<void> {
-    await this._fleet.client(['drain', 'hazards-1-target', '--undo', '--wait']);
+    await this._fleet.runCli(['drain', 'hazards-1-target', '--undo', '--wait']);
     say('Stopping one daemon of archive by SIGTERM under load.');
     const running = Array.from({ length: kStopCalls }, (_, i) => this._call('GET', `/archive/spans/${i}/history`, 'stop', 3 + (i % 6)));
     const host = this._fleet.host('archive-1');
--- a/tests/admission/chainModel.spec.ts
+++ b/tests/admission/chainModel.spec.ts
@@ -4,7 +4,7 @@
  */
 
 import { InternalRouteDetector, CallRatios, ChainModel, GateLevel, RootAdmission, seededRandom } from '@gentiandrum/core';
-import { describe, it, itAlone } from '../support/describe.js';
+import { describe, it, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kServices = ['archive', 'defects', 'switching', 'hazards'];
@@ -173,7 +173,7 @@
 });
 
 describe('chain model', () => {
-  itAlone('should include downstream levels in the reports of routes that call the affected route, and of no others', (t) => {
+  itSerial('should include downstream levels in the reports of routes that call the affected route, and of no others', (t) => {
     const time = new VirtualTime();
     const chains = new ChainModel();
     const random = seededRandom(3);
@@ -200,7 +200,7 @@
     time.restore();
   });
 
-  itAlone('should reject no requests while a host has capacity, and ignore hosts without recent reports', (t) => {
+  itSerial('should reject no requests while a host has capacity, and ignore hosts without recent reports', (t) => {
     const time = new VirtualTime();
     const chains = new ChainModel();
     const reportLevel = (host: string, level: number): void => {
@@ -218,7 +218,7 @@
     time.restore();
   });
 
-  itAlone('should use restored data at once, and replace it by local observations', (t) => {
+  itSerial('should use restored data at once, and replace it by local observations', (t) => {
     const time = new VirtualTime();
     const random = seededRandom(11);
     /** Simulates 30 s of runs of a route that make `callsOfRun` downstream calls each. */
--- a/tests/admission/gate.spec.ts
+++ b/tests/admission/gate.spec.ts
@@ -5,8 +5,8 @@
 
 import { type ErrorKind, Gate, type GateEvents, kCohorts, kOpenLevel, type QueuedCall, rankOf } from '@gentiandrum/core';
 import fc from 'fast-check';
-import { describe, itAlone } from '../support/describe.js';
-import { withHeldClock } from '../support/heldClock.js';
+import { describe, itSerial } from '../support/describe.js';
+import { withFakeClock } from '../support/fakeClock.js';
 
 const kWarm = -Infinity;
 const kSeed = 11;
@@ -39,8 +39,8 @@
 }
 
 describe('a gate', () => {
-  itAlone('should start calls up to the announced slots and queue the rest', (t) => {
-    withHeldClock(() => {
+  itSerial('should start calls up to the announced slots and queue the rest', (t) => {
+    withFakeClock(() => {
       const gate = new Gate(2, () => 'goodput', createRecorder(), kWarm);
       t.deepEqual(
         [gate.offer(call('1', 1)), gate.offer(call('2', 1)), gate.offer(call('3', 1))].map(({ kind }) => kind),
@@ -49,8 +49,8 @@
     });
   });
 
-  itAlone('should start the most important waiting call first, and deeper calls before root calls of the same rank', (t) => {
-    withHeldClock(() => {
+  itSerial('should start the most important waiting call first, and deeper calls before root calls of the same rank', (t) => {
+    withFakeClock(() => {
       const recorder = createRecorder();
       const gate = new Gate(1, () => 'goodput', recorder, kWarm);
       gate.offer(call('running', 3));
@@ -65,8 +65,8 @@
     });
   });
 
-  itAlone('should never start a call whose deadline passed in the queue', (t) => {
-    withHeldClock((clock) => {
+  itSerial('should never start a call whose deadline passed in the queue', (t) => {
+    withFakeClock((clock) => {
       const recorder = createRecorder();
       const gate = new Gate(1, () => 'goodput', recorder, kWarm);
       gate.offer(call('running', 1));
@@ -78,8 +78,8 @@
     });
   });
 
-  itAlone('should never start a call that was cancelled in the queue', (t) => {
-    withHeldClock(() => {
+  itSerial('should never start a call that was cancelled in the queue', (t) => {
+    withFakeClock(() => {
       const recorder = createRecorder();
       const gate = new Gate(1, () => 'goodput', recorder, kWarm);
       gate.offer(call('running', 1));
@@ -91,8 +91,8 @@
     });
   });
 
-  itAlone('should shed waiting calls when it closes, and keep running calls', (t) => {
-    withHeldClock(() => {
+  itSerial('should shed waiting calls when it closes, and keep running calls', (t) => {
+    withFakeClock(() => {
       const recorder = createRecorder();
       const gate = new Gate(1, () => 'goodput', recorder, kWarm);
       gate.offer(call('running', 1));
@@ -104,8 +104,8 @@
     });
   });
 
-  itAlone('should limit a cold target for five seconds when no call completes', (t) => {
-    withHeldClock((clock) => {
+  itSerial('should limit a cold target for five seconds when no call completes', (t) => {
+    withFakeClock((clock) => {
       const gate = new Gate(100, () => 'goodput', createRecorder(), 0);
       t.is(gate.limit, 30);
       clock.tick(4_900);
@@ -115,7 +115,7 @@
     });
   });
 
-  itAlone('should never shed a call while a less important one waits', (t) => {
+  itSerial('should never shed a call while a less important one waits', (t) => {
     const arrival = fc.record({
       importance: fc.nat(3),
       cohort: fc.nat(kCohorts - 1),
@@ -124,7 +124,7 @@
     });
     fc.assert(
       fc.property(fc.array(arrival, { minLength: 20, maxLength: 200 }), (arrivals) => {
-        withHeldClock((clock) => {
+        withFakeClock((clock) => {
           const waiting = new Map<string, QueuedCall>();
           const running: string[] = [];
           const worstWaitingRank = (): number => Math.max(-1, ...[...waiting.values()].map(({ rank }) => rank));
@@ -166,8 +166,8 @@
 });
 
 describe('an admission level', () => {
-  itAlone('should fall under sustained overload and shed the least important calls first', (t) => {
-    withHeldClock((clock) => {
+  itSerial('should fall under sustained overload and shed the least important calls first', (t) => {
+    withFakeClock((clock) => {
       const gate = new Gate(4, () => 'goodput', createRecorder(), kWarm);
       overload(gate, clock, 100);
       t.true(gate.level < kOpenLevel);
@@ -176,9 +176,9 @@
     });
   });
 
-  itAlone('should reopen within a second of free capacity, and sooner when recovery is favoured', (t) => {
+  itSerial('should reopen within a second of free capacity, and sooner when recovery is favoured', (t) => {
     const timeToOpen = (favour: 'goodput' | 'recovery'): number =>
-      withHeldClock((clock) => {
+      withFakeClock((clock) => {
         const gate = new Gate(4, () => favour, createRecorder(), kWarm);
         overload(gate, clock, 100);
         const begin = performance.now();
--- a/tests/admission/slotGate.spec.ts
+++ b/tests/admission/slotGate.spec.ts
@@ -4,7 +4,7 @@
  */
 
 import { type GatedCall, type GateRefusal, SlotGate } from '@gentiandrum/core';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kLongWaitMs = 10_000;
@@ -34,13 +34,13 @@
 }
 
 describe('slot gate', () => {
-  itAlone('should refuse all calls until it is opened', (t) => {
+  itSerial('should refuse all calls until it is opened', (t) => {
     withGate(({ offer }) => {
       t.is(offer(1), 'refused');
     });
   });
 
-  itAlone('should never run more calls than the slots allow, and start waiting calls by their latest start time', (t) => {
+  itSerial('should never run more calls than the slots allow, and start waiting calls by their latest start time', (t) => {
     withGate(({ gate, started, offer }) => {
       gate.open(11, 0);
       const kinds = Array.from({ length: 12 }, (_, i) => offer(i));
@@ -54,7 +54,7 @@
     });
   });
 
-  itAlone('should refuse a call at once when it could not start in time', (t) => {
+  itSerial('should refuse a call at once when it could not start in time', (t) => {
     withGate(({ gate, offer }) => {
       gate.open(2, 0);
       offer(1);
@@ -65,7 +65,7 @@
     });
   });
 
-  itAlone('should refuse calls that waited too long, and all waiting calls when it closes', (t) => {
+  itSerial('should refuse calls that waited too long, and all waiting calls when it closes', (t) => {
     withGate(({ time, gate, refused, offer }) => {
       gate.open(1, 0);
       offer(1);
@@ -81,7 +81,7 @@
     });
   });
 
-  itAlone('should withdraw only waiting calls', (t) => {
+  itSerial('should withdraw only waiting calls', (t) => {
     withGate(({ gate }) => {
       gate.open(1, 0);
       const running = { id: 1, waitUntil: kLongWaitMs };
@@ -94,7 +94,7 @@
     });
   });
 
-  itAlone('should not extend the warm-up of a target when it is reopened', (t) => {
+  itSerial('should not extend the warm-up of a target when it is reopened', (t) => {
     withGate(({ time, gate }) => {
       gate.open(100, 3_000);
       time.runUntil(2_900);
@@ -106,7 +106,7 @@
     });
   });
 
-  itAlone('should use fewer slots while the target is cold', (t) => {
+  itSerial('should use fewer slots while the target is cold', (t) => {
     withGate(({ time, gate }) => {
       gate.open(100, 3_000);
       t.is(gate.limit, 47);
--- a/tests/e2e/commandLine.spec.ts
+++ b/tests/e2e/commandLine.spec.ts
@@ -11,7 +11,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import test from 'ava';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { exitOf, Fleet, until } from '../support/fleet.js';
 import { kSampleConfig } from '../support/sampleConfig.js';
 
@@ -40,7 +40,7 @@
     ],
     { limits },
   );
-  await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
+  await fleet.runCli(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
   await Promise.all([fleet.untilTargets('alpha', 2), fleet.untilTargets('beta', 1)]);
 });
 
@@ -64,7 +64,7 @@
 }
 
 describe('gentiandrumd', () => {
-  itAlone('should tell every fault of its settings at once, with path, what was expected and what came', async (t) => {
+  itSerial('should tell every fault of its settings at once, with path, what was expected and what came', async (t) => {
     const { code, err } = await runDaemon(['--settings', settingsFile('id: UPPER\nlisten: nowhere\nzone: east\nspeed: 3\n')]);
     t.is(code, 2);
     for (const part of [
@@ -80,20 +80,20 @@
     t.false(err.includes('    at '));
   });
 
-  itAlone('should refuse a file that is missing or no YAML', async (t) => {
+  itSerial('should refuse a file that is missing or no YAML', async (t) => {
     t.is((await runDaemon(['--settings', '/nowhere.yaml'])).code, 2);
     t.is((await runDaemon(['--settings', settingsFile('a: [1')])).code, 2);
     t.is((await runDaemon([])).code, 2);
   });
 
-  itAlone('should only check when asked to', async (t) => {
+  itSerial('should only check when asked to', async (t) => {
     const good = settingsFile('id: x\nlisten: 127.0.0.1:1\nzone: z\nregion: r\nlog: http://127.0.0.1:1\nchainSecret: 0123456789abcdef\n');
     const { code, out } = await runDaemon(['--settings', good, '--check']);
     t.is(code, 0);
     t.regex(out, /valid/);
   });
 
-  itAlone('should bound the bodies in flight, and refuse the rest as not run', async (t) => {
+  itSerial('should bound the bodies in flight, and refuse the rest as not run', async (t) => {
     await fleet.setBehaviour('b1', { workMs: 300 });
     const pending = Array.from({ length: 6 }, (_, i) =>
       fetch(`http://${fleet.host('b1').address}/beta/big`, {
@@ -109,7 +109,7 @@
     await fleet.setBehaviour('b1', { workMs: 1 });
   });
 
-  itAlone('should run both of two equal holds of one call, and neither again when that call is retried', async (t) => {
+  itSerial('should run both of two equal holds of one call, and neither again when that call is retried', async (t) => {
     await Promise.all(['a1', 'a2'].map((id) => fleet.setBehaviour(id, { failures: 0 })));
     await fleet.setBehaviour('a1', { failures: 1 });
     const res = await fetch(`http://${fleet.host('a1').address}/alpha/x`, { method: 'PUT', headers: { 'x-call': 'chain-holds' } });
@@ -153,33 +153,33 @@
     { title: 'a missing file', args: ['validate', '/nowhere.yaml'], code: 2, pattern: /expected a readable YAML file/ },
   ];
   for (const { title, args, input, code, pattern } of cases) {
-    itAlone(`should answer ${title} with exit code ${code} and a plain line`, async (t) => {
-      const run = await fleet.client(args, input);
+    itSerial(`should answer ${title} with exit code ${code} and a plain line`, async (t) => {
+      const run = await fleet.runCli(args, input);
       t.is(run.code, code, run.err);
       t.regex(run.err, pattern);
       t.false(run.err.includes('    at '));
     });
   }
 
-  itAlone('should print JSON on every reading command', async (t) => {
+  itSerial('should print JSON on every reading command', async (t) => {
     for (const command of ['get', 'history', 'status']) {
-      const { out, code } = await fleet.client([command, '--json']);
+      const { out, code } = await fleet.runCli([command, '--json']);
       t.is(code, 0);
       t.notThrows(() => JSON.parse(out) as unknown, command);
     }
   });
 
-  itAlone('should show what a patch would change', async (t) => {
-    const { out, code } = await fleet.client(['diff', 'FILE'], { retryRatio: 0.3, classes: { 'beta-hold': null } });
+  itSerial('should show what a patch would change', async (t) => {
+    const { out, code } = await fleet.runCli(['diff', 'FILE'], { retryRatio: 0.3, classes: { 'beta-hold': null } });
     t.is(code, 0);
     t.regex(out, /retryRatio: absent -> 0.3/);
     t.regex(out, /classes.beta-hold: .* -> absent/);
   });
 
-  itAlone('should drain a target and undo it', async (t) => {
-    t.is((await fleet.client(['drain', 'a2-target', '--wait'])).code, 0);
+  itSerial('should drain a target and undo it', async (t) => {
+    t.is((await fleet.runCli(['drain', 'a2-target', '--wait'])).code, 0);
     await until('a2 leaves', async () => (await fleet.status('a1')).members.some((m) => m.id === 'a2' && m.targetState === 'leaving'));
-    t.is((await fleet.client(['drain', 'a2-target', '--undo', '--wait'])).code, 0);
+    t.is((await fleet.runCli(['drain', 'a2-target', '--undo', '--wait'])).code, 0);
     await fleet.untilTargets('alpha', 2);
   });
 });
--- a/tests/e2e/faults.spec.ts
+++ b/tests/e2e/faults.spec.ts
@@ -6,7 +6,7 @@
 /** Faults of hosts, targets and the log, over real processes; judged by outcome, never by wall time. */
 
 import test from 'ava';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { Fleet, until } from '../support/fleet.js';
 import { kSampleConfig } from '../support/sampleConfig.js';
 
@@ -18,7 +18,7 @@
     { id: 'b1', zone: 'east', service: 'beta' },
     { id: 'b2', zone: 'west', service: 'beta' },
   ]);
-  await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], {
+  await fleet.runCli(['apply', 'FILE', '--base', '0', '--wait'], {
     ...kSampleConfig,
     classes: {
       ...kSampleConfig.classes,
@@ -66,7 +66,7 @@
 }
 
 describe('a target', () => {
-  itAlone('should be passed over when it sheds, and the caller told not_run when all do', async (t) => {
+  itSerial('should be passed over when it sheds, and the caller told not_run when all do', async (t) => {
     await fleet.setBehaviour('b1', { slots: 0 });
     t.is((await send('a1', '/beta/x', 'shed-one')).status, 200);
     await fleet.setBehaviour('b2', { slots: 0 });
@@ -76,7 +76,7 @@
     t.is(await fleet.totalRuns('shed-all'), 0);
   });
 
-  itAlone('should have a cut answer retried for a read, and told as unknown for a hold', async (t) => {
+  itSerial('should have a cut answer retried for a read, and told as unknown for a hold', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { truncate: 1 })));
     const cut = await send('a1', '/beta/holds', 'cut-hold', { method: 'POST' });
     t.deepEqual([cut.kind, cut.outcome], ['answer_truncated', 'unknown']);
@@ -84,7 +84,7 @@
     t.is((await send('a1', '/beta/x', 'cut-read')).status, 200);
   });
 
-  itAlone('should let a late whole answer win when the competing attempt fails', async (t) => {
+  itSerial('should let a late whole answer win when the competing attempt fails', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { workMs: 400 })));
     const pending = send('a1', '/beta/competing/x', 'late');
     await until('both attempts run', async () => (await fleet.totalRuns('late')) === 2);
@@ -93,7 +93,7 @@
     t.is((await pending).status, 200);
   });
 
-  itAlone('should hear that the caller hung up', async (t) => {
+  itSerial('should hear that the caller hung up', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { workMs: 500 })));
     const aborter = new AbortController();
     const pending = send('a1', '/beta/x', 'hung-up', { signal: aborter.signal });
@@ -108,7 +108,7 @@
     t.pass();
   });
 
-  itAlone('should take no new work once it says so, and be back when it says so', async (t) => {
+  itSerial('should take no new work once it says so, and be back when it says so', async (t) => {
     await fleet.setBehaviour('b1', { accepting: false });
     await until('a1 knows', async () => (await fleet.status('a1')).members.some((m) => m.id === 'b1' && m.targetState === 'leaving'));
     for (let i = 0; i < 20; i++) {
@@ -121,14 +121,14 @@
 });
 
 describe("the platform's log", () => {
-  itAlone('should cost nothing but a read when it loses the reply to a claim', async (t) => {
+  itSerial('should cost nothing but a read when it loses the reply to a claim', async (t) => {
     await fleet.setLogFaults({ loseReplies: 1 });
     t.is((await send('b1', '/beta/holds', 'lost-claim', hold('lost-claim'))).status, 200);
     t.is((await send('b2', '/beta/holds', 'lost-claim', hold('lost-claim'))).status, 200);
     t.is(await fleet.totalRuns('lost-claim'), 1);
   });
 
-  itAlone('should be survived while it is silent: holds are refused as not run, reads go on', async (t) => {
+  itSerial('should be survived while it is silent: holds are refused as not run, reads go on', async (t) => {
     await fleet.setLogFaults({ silent: true });
     const [refused, read] = await Promise.all([send('a1', '/beta/holds', 'silent', hold('silent')), send('a1', '/beta/x', 'silent-read')]);
     t.deepEqual([refused.kind, refused.outcome], ['log_unavailable', 'not_run']);
@@ -138,18 +138,18 @@
     t.true((await fleet.totalRuns('silent')) <= 1);
   });
 
-  itAlone('should settle a patch whose reply was lost, once', async (t) => {
+  itSerial('should settle a patch whose reply was lost, once', async (t) => {
     const { version } = await fleet.status('a1');
     await fleet.setLogFaults({ loseReplies: 1 });
-    const applied = await fleet.client(['apply', 'FILE', '--base', String(version), '--wait'], { retryRatio: 0.11 });
+    const applied = await fleet.runCli(['apply', 'FILE', '--base', String(version), '--wait'], { retryRatio: 0.11 });
     t.is(applied.code, 0, applied.err);
     t.is((await fleet.status('b2')).version, version + 1);
   });
 
-  itAlone('should let a patch wait, not vanish, while it is down', async (t) => {
+  itSerial('should let a patch wait, not vanish, while it is down', async (t) => {
     const { version } = await fleet.status('a1');
     await fleet.setLogFaults({ down: true });
-    const refused = await fleet.client(['apply', 'FILE', '--base', String(version)], { retryRatio: 0.12 });
+    const refused = await fleet.runCli(['apply', 'FILE', '--base', String(version)], { retryRatio: 0.12 });
     t.is(refused.code, 4);
     await fleet.setLogFaults({});
     t.is((await fleet.status('a1')).version, version);
@@ -157,7 +157,7 @@
 });
 
 describe('a daemon', () => {
-  itAlone('should never let a hold run twice when it is paused past every deadline', async (t) => {
+  itSerial('should never let a hold run twice when it is paused past every deadline', async (t) => {
     const paused = fleet.host('b1').daemon;
     const pending = send('b1', '/beta/holds', 'paused', { ...hold('paused'), signal: AbortSignal.timeout(15_000) }).catch(() => undefined);
     paused.kill('SIGSTOP');
@@ -171,7 +171,7 @@
     t.true((await fleet.totalRuns('paused')) <= 1);
   });
 
-  itAlone('should, killed, cost a read a retry and a hold no more than an unknown outcome', async (t) => {
+  itSerial('should, killed, cost a read a retry and a hold no more than an unknown outcome', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { workMs: 300 })));
     const reads = Array.from({ length: 6 }, (_, i) => send('a1', '/beta/x', `killed-read-${i}`));
     const holds = Array.from({ length: 6 }, (_, i) => send('a1', '/beta/holds', `killed-hold-${i}`, { method: 'POST' }));
@@ -189,7 +189,7 @@
     }
   });
 
-  itAlone('should get configuration and members from its peers when it starts while the log is down', async (t) => {
+  itSerial('should get configuration and members from its peers when it starts while the log is down', async (t) => {
     const { version } = await fleet.status('a1');
     await fleet.setLogFaults({ down: true });
     await fleet.startHost({ id: 'b2', zone: 'west', service: 'beta' }, {}, fleet.host('b2').address);
--- a/tests/e2e/leavingDaemon.spec.ts
+++ b/tests/e2e/leavingDaemon.spec.ts
@@ -22,7 +22,7 @@
 import { once } from 'node:events';
 import { connect } from 'node:net';
 import { Agent, request } from 'undici';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { exitOf, Fleet, until } from '../support/fleet.js';
 import { kSampleConfig } from '../support/sampleConfig.js';
 
@@ -72,7 +72,7 @@
 }
 
 describe('a daemon that stops as planned', () => {
-  itAlone('should cost no call of a sender that stood still until it was gone', async (t) => {
+  itSerial('should cost no call of a sender that stood still until it was gone', async (t) => {
     const fleet = await Fleet.start([
       { id: 'a1', zone: 'east', service: 'alpha' },
       ...['b1', ...kLeavers].map((id) => ({ id, zone: 'east', service: 'beta', behaviour: { workMs: 5 } })),
@@ -80,7 +80,7 @@
     ]);
     const callers = new Agent({ connections: kCallers });
     try {
-      await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kPatientConfig);
+      await fleet.runCli(['apply', 'FILE', '--base', '0', '--wait'], kPatientConfig);
       await fleet.untilTargets('beta', 1 + kLeavers.length);
       const a1 = fleet.host('a1');
       const holders = new Holders(a1.address, callers);
@@ -94,7 +94,7 @@
         a1.daemon.kill('SIGCONT');
       }
       await holders.stop();
-      t.deepEqual(holders.lost, [], fleet.linesAbout(holders.lost));
+      t.deepEqual(holders.lost, [], fleet.logLinesFor(holders.lost));
     } finally {
       fleet.stop();
       await callers.destroy();
@@ -103,7 +103,7 @@
 
   // Callers open connections ahead of their requests, and a sender that stands still may have one without an offer. The server's close
   // waits for such a connection as for a request: a daemon with one was still there 20 s after SIGTERM, without a line.
-  itAlone('should end although a connection was opened and never used', async (t) => {
+  itSerial('should end although a connection was opened and never used', async (t) => {
     const fleet = await Fleet.start([{ id: 'b2', zone: 'east', service: 'beta' }]);
     const { daemon, address } = fleet.host('b2');
     const [host = '', port = ''] = address.split(':');
--- a/tests/e2e/lethalCalls.spec.ts
+++ b/tests/e2e/lethalCalls.spec.ts
@@ -10,7 +10,7 @@
  */
 
 import test from 'ava';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { Fleet, type FleetHost, until } from '../support/fleet.js';
 import { kSampleConfig } from '../support/sampleConfig.js';
 
@@ -46,7 +46,7 @@
     { id: 'a1', zone: 'east', service: 'alpha' },
     ...kTargets.map((id, i) => ({ id, zone: i % 2 === 0 ? 'east' : 'west', service: 'beta', behaviour: { endsOn: 'lethal' } })),
   ]);
-  await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
+  await fleet.runCli(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
   await fleet.untilTargets('beta', kTargets.length);
   kTargets.forEach((id) => {
     revive(fleet.host(id));
@@ -70,7 +70,7 @@
 }
 
 describe('a call that ends the targets it runs on', () => {
-  itAlone('should end three at most, then be refused as not run until an operator lets it run', async (t) => {
+  itSerial('should end three at most, then be refused as not run until an operator lets it run', async (t) => {
     const hosts = [...fleet.hosts.keys()];
     for (let i = 0; i < kLethalCalls; i++) {
       await call(hosts[i % hosts.length] ?? 'a1', '/beta/lethal/1');
@@ -85,14 +85,14 @@
     await fleet.untilTargets('beta', kTargets.length);
     t.is((await call('a1', '/beta/lookup/1')).status, 200);
 
-    const listed = await fleet.client(['suspects', '--json']);
+    const listed = await fleet.runCli(['suspects', '--json']);
     const { suspects } = JSON.parse(listed.out) as { suspects: { fingerprint: string; verdict: string }[] };
     t.is(suspects.length, 1);
     const [held] = suspects;
     t.is(held?.verdict, 'quarantined');
-    t.is((await fleet.client(['release', 'none'])).code, 1);
+    t.is((await fleet.runCli(['release', 'none'])).code, 1);
     await Promise.all(kTargets.map((id) => fleet.setBehaviour(id, { endsOn: '' })));
-    t.is((await fleet.client(['release', held?.fingerprint ?? ''])).code, 0);
+    t.is((await fleet.runCli(['release', held?.fingerprint ?? ''])).code, 0);
     await until('the call to run everywhere', async () => {
       const answers = await Promise.all(hosts.map((host) => call(host, '/beta/lethal/1')));
       return answers.every(({ status }) => status === 200);
--- a/tests/e2e/path.spec.ts
+++ b/tests/e2e/path.spec.ts
@@ -4,7 +4,7 @@
  */
 
 import test from 'ava';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { Fleet } from '../support/fleet.js';
 import { kSampleConfig } from '../support/sampleConfig.js';
 
@@ -16,7 +16,7 @@
     { id: 'b1', zone: 'east', service: 'beta', behaviour: { echo: true } },
     { id: 'b2', zone: 'west', service: 'beta', behaviour: { echo: true } },
   ]);
-  const applied = await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
+  const applied = await fleet.runCli(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
   if (applied.code !== 0) {
     throw new Error(applied.err);
   }
@@ -33,7 +33,7 @@
 }
 
 describe('a request', () => {
-  itAlone('should get the whole answer through two daemons and an onward call', async (t) => {
+  itSerial('should get the whole answer through two daemons and an onward call', async (t) => {
     const res = await send('b2', '/alpha/hello', { headers: { 'x-call': 'one' } });
     t.is(res.status, 200);
     t.is(await res.text(), 'alpha GET /hello');
@@ -41,7 +41,7 @@
     t.is(await fleet.totalRuns('one'), 2);
   });
 
-  itAlone('should pass bodies of any size and get each back whole', async (t) => {
+  itSerial('should pass bodies of any size and get each back whole', async (t) => {
     const sizes = [0, 1, 1_000, 100_000, 1_048_576];
     const lengths = await Promise.all(
       sizes.map(async (size) => {
@@ -52,10 +52,10 @@
     t.deepEqual(lengths, sizes);
   });
 
-  itAlone('should be explained by its id', async (t) => {
+  itSerial('should be explained by its id', async (t) => {
     const res = await send('a1', '/beta/x');
     await res.text();
-    const explained = await fleet.client(['explain', res.headers.get('gentiandrum-request-id') ?? '']);
+    const explained = await fleet.runCli(['explain', res.headers.get('gentiandrum-request-id') ?? '']);
     t.is(explained.code, 0, explained.err);
     t.regex(explained.out, /route \[beta-read\] b1-target: own_zone/);
   });
@@ -82,7 +82,7 @@
     { title: 'a body over the limit', path: '/beta/x', init: { method: 'POST', body: 'x'.repeat(5_000_000) }, kind: 'body_too_large' },
   ];
   for (const { title, path, init, kind } of cases) {
-    itAlone(`should name ${title} and say that nothing ran`, async (t) => {
+    itSerial(`should name ${title} and say that nothing ran`, async (t) => {
       const res = await send('a1', path, {
         ...init,
         headers: { 'x-call': kind, ...((init as RequestInit).headers as Record<string, string> | undefined) },
@@ -97,7 +97,7 @@
 });
 
 describe('a keyed hold', () => {
-  itAlone('should run once and answer its repeats alike at every daemon', async (t) => {
+  itSerial('should run once and answer its repeats alike at every daemon', async (t) => {
     const hold = { method: 'POST', body: '{"bed":1}', headers: { 'idempotency-key': 'hold-1', 'x-call': 'hold-1' } };
     for (const host of ['a1', 'b1', 'b2', 'a1']) {
       const res = await send(host, '/beta/holds', hold);
@@ -107,7 +107,7 @@
     t.is(await fleet.totalRuns('hold-1'), 1);
   });
 
-  itAlone('should be refused when the key comes with another body', async (t) => {
+  itSerial('should be refused when the key comes with another body', async (t) => {
     const hold = (bed: number): RequestInit => ({
       method: 'POST',
       body: `{"bed":${bed}}`,
@@ -118,7 +118,7 @@
     t.is(await fleet.totalRuns('hold-2'), 1);
   });
 
-  itAlone('should run once under a minted key, settled without the log', async (t) => {
+  itSerial('should run once under a minted key, settled without the log', async (t) => {
     const { namespace } = (await (await send('a1', '/-/namespaces', { method: 'POST' })).json()) as { namespace: string };
     await fleet.setLogFaults({ down: true });
     const hold = { method: 'POST', body: '{"bed":3}', headers: { 'idempotency-key': `${namespace}/1`, 'x-call': 'hold-3' } };
@@ -129,7 +129,7 @@
     t.is(await fleet.totalRuns('hold-3'), 1);
   });
 
-  itAlone('should be refused at once as not run while the log is down, and run after', async (t) => {
+  itSerial('should be refused at once as not run while the log is down, and run after', async (t) => {
     await fleet.setLogFaults({ down: true });
     const hold = { method: 'POST', body: '{"bed":4}', headers: { 'idempotency-key': 'hold-4', 'x-call': 'hold-4' } };
     const refused = await send('a1', '/beta/holds', hold);
--- a/tests/e2e/stops.spec.ts
+++ b/tests/e2e/stops.spec.ts
@@ -7,7 +7,7 @@
 
 import test from 'ava';
 import { LinkStandin } from '../standins/linkStandin.js';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { exitOf, Fleet, until } from '../support/fleet.js';
 import { freeAddress } from '../support/freePorts.js';
 import { kSampleConfig } from '../support/sampleConfig.js';
@@ -29,13 +29,13 @@
   const address = await freeAddress();
   link = new LinkStandin(Number(address.split(':')[1]));
   await fleet.startHost({ id: 'b3', zone: 'north', service: 'beta' }, { advertise: await link.listen() }, address);
-  await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
+  await fleet.runCli(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
   await Promise.all([fleet.untilTargets('beta', 3), fleet.untilTargets('alpha', 1)]);
 });
 
 test.afterEach.always(async (t) => {
   if (!t.passed) {
-    t.log(await fleet.report());
+    t.log(await fleet.diagnostics());
   }
 });
 
@@ -109,7 +109,7 @@
 }
 
 describe('a planned stop', () => {
-  itAlone('should cut nothing under load while the log is down', async (t) => {
+  itSerial('should cut nothing under load while the log is down', async (t) => {
     await fleet.setLogFaults({ down: true });
     const callers = new Callers('/alpha/x', { method: 'PUT' }, ['b1', 'b2', 'a1']);
     const holders = new Callers('/beta/holds', { method: 'POST' }, ['b1', 'a1']);
@@ -119,13 +119,13 @@
     await Promise.all([callers.stop(), holders.stop()]);
     await fleet.setLogFaults({});
     t.is(code, 0);
-    t.deepEqual([...callers.lost, ...holders.lost], [], fleet.linesAbout([...callers.lost, ...holders.lost]));
+    t.deepEqual([...callers.lost, ...holders.lost], [], fleet.logLinesFor([...callers.lost, ...holders.lost]));
     t.true(fleet.host('b2').logs.some((line) => line.includes('Nothing was cut.')));
     await fleet.startHost({ id: 'b2', zone: 'west', service: 'beta', behaviour: { workMs: 5 } }, {}, fleet.host('b2').address);
     await fleet.untilTargets('beta', 3);
   });
 
-  itAlone('should lose no request when every daemon restarts in turn under load', async (t) => {
+  itSerial('should lose no request when every daemon restarts in turn under load', async (t) => {
     const callers = new Callers('/alpha/x', { method: 'GET' }, ['b1', 'b2', 'a1']);
     for (const id of ['b1', 'b2']) {
       const { zone, address } = fleet.host(id);
@@ -138,13 +138,13 @@
       await fleet.untilTargets('beta', 3);
     }
     await callers.stop();
-    t.deepEqual(callers.lost, [], fleet.linesAbout(callers.lost));
+    t.deepEqual(callers.lost, [], fleet.logLinesFor(callers.lost));
     t.true(callers.answered > 40);
   });
 });
 
 describe('a cut', () => {
-  itAlone('should be noticed, served around on both sides, and healed', async (t) => {
+  itSerial('should be noticed, served around on both sides, and healed', async (t) => {
     link.setCut(true);
     await until('a1 gives b3 up', async () => (await fleet.status('a1')).members.some((m) => m.id === 'b3' && m.state !== 'alive'));
     for (let i = 0; i < 10; i++) {
@@ -152,7 +152,7 @@
     }
     t.is((await fetch(`http://${fleet.host('b3').address}/beta/x`)).status, 200);
     const { version } = await fleet.status('a1');
-    const applied = await fleet.client(['apply', 'FILE', '--base', String(version)], { retryRatio: 0.13 });
+    const applied = await fleet.runCli(['apply', 'FILE', '--base', String(version)], { retryRatio: 0.13 });
     t.is(applied.code, 0, applied.err);
     link.setCut(false);
     await Promise.all(kIds.map((id) => until(`${id} holds the version`, async () => (await fleet.status(id)).version === version + 1)));
--- a/tests/matrix/matrix.spec.ts
+++ b/tests/matrix/matrix.spec.ts
@@ -6,7 +6,7 @@
 /** Runs every single fault, a seeded sample of fault pairs, and the broken variants. */
 
 import { seededRandom } from '@gentiandrum/core';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { kBrokenVariants } from './brokenVariants.js';
 import { uncoveredFaults, runMatrix } from './runMatrix.js';
 import { kScenarios } from './scenarios.js';
@@ -15,7 +15,7 @@
 const kPairRatio = 0.05;
 
 describe('the fault matrix', () => {
-  itAlone('should keep all eight guarantees under every fault at every step and under sampled pairs', (t) => {
+  itSerial('should keep all eight guarantees under every fault at every step and under sampled pairs', (t) => {
     const random = seededRandom(kSeed);
     const report = runMatrix(kScenarios, () => random() < kPairRatio);
     t.deepEqual(report.violations, []);
@@ -23,12 +23,12 @@
     t.log(`${report.cells} cells, ${report.pairs} pairs, seed ${kSeed}`);
   });
 
-  itAlone('should have a cell for every possible fault of every effect', (t) => {
+  itSerial('should have a cell for every possible fault of every effect', (t) => {
     t.deepEqual(uncoveredFaults(runMatrix(kScenarios, () => false)), []);
   });
 
   for (const { name, guarantee, install } of kBrokenVariants) {
-    itAlone(`should detect ${name}`, (t) => {
+    itSerial(`should detect ${name}`, (t) => {
       const restore = install();
       try {
         const { violations } = runMatrix(kScenarios, () => false);
--- a/tests/mesh/answers.spec.ts
+++ b/tests/mesh/answers.spec.ts
@@ -5,7 +5,7 @@
 
 /** Whole answers to the right caller, "not run" only when true, and nothing twice that must not be. */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import type { ResponseMode } from '../platform/upstreamStandin.js';
 import { withFleet } from './meshFleet.js';
 
@@ -23,7 +23,7 @@
     { mode: 'shedding', status: 503 },
   ];
   for (const { mode, status } of bad) {
-    itAlone(`should give a request that is not idempotent ${status} when the answer is ${mode}, and run it once`, (t) =>
+    itSerial(`should give a request that is not idempotent ${status} when the answer is ${mode}, and run it once`, (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/once/', service: 'holds', idempotent: false, maxAttempts: 3 }]);
         const host = await fleet.add('h1', 'holds');
@@ -39,7 +39,7 @@
     );
   }
 
-  itAlone('should never give a caller the surplus answer to somebody else', (t) =>
+  itSerial('should never give a caller the surplus answer to somebody else', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -54,7 +54,7 @@
     }),
   );
 
-  itAlone('should send an idempotent request on to another target when one loses the answer', (t) =>
+  itSerial('should send an idempotent request on to another target when one loses the answer', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', maxAttempts: 2 }]);
       const first = await fleet.add('h1', 'reads');
@@ -71,7 +71,7 @@
 });
 
 describe('requests on their way', () => {
-  itAlone('should reach a target on another host unchanged, with caller, instance and time left', (t) =>
+  itSerial('should reach a target on another host unchanged, with caller, instance and time left', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/once/', service: 'holds', idempotent: false }]);
       const near = await fleet.add('h1', 'reads');
@@ -89,7 +89,7 @@
     }),
   );
 
-  itAlone('should be answered 404 without a route, 503 without a configuration and 413 over the limit', (t) =>
+  itSerial('should be answered 404 without a route, 503 without a configuration and 413 over the limit', (t) =>
     withFleet(async (fleet) => {
       const host = await fleet.add('h1', 'reads');
       t.is((await fleet.call(host, '/a/x')).status, 503);
@@ -102,7 +102,7 @@
     }),
   );
 
-  itAlone('should be answered 504 at the time limit of the route, and cancelled down to the target', (t) =>
+  itSerial('should be answered 504 at the time limit of the route, and cancelled down to the target', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 300 }]);
       const near = await fleet.add('h1', 'other');
@@ -114,7 +114,7 @@
     }),
   );
 
-  itAlone('should be given to a new target within one version, and follow its split', (t) =>
+  itSerial('should be given to a new target within one version, and follow its split', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'old' }]);
       const old = await fleet.add('h1', 'old');
--- a/tests/mesh/bundle.spec.ts
+++ b/tests/mesh/bundle.spec.ts
@@ -11,14 +11,14 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { deployedArguments } from './deployedArguments.js';
 import { MeshFleet } from './meshFleet.js';
 
 const kRoot = fileURLToPath(new URL('../../..', import.meta.url));
 
 describe('the bundled daemon', () => {
-  itAlone('should start from its settings, serve a call from another host also while they change, and stop when told to', async (t) => {
+  itSerial('should start from its settings, serve a call from another host also while they change, and stop when told to', async (t) => {
     const built = spawnSync(process.execPath, ['utils/bundle.mjs'], { cwd: kRoot, encoding: 'utf8' });
     t.is(built.status, 0, built.stderr);
     const folder = mkdtempSync(join(tmpdir(), 'gentiandrum-'));
--- a/tests/mesh/callers.spec.ts
+++ b/tests/mesh/callers.spec.ts
@@ -6,7 +6,7 @@
 /** Callers as they come: pipelines, chunks, long and late bodies, early leavers, and bytes that are no request. */
 
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 import { RawCaller, requestText } from './rawCaller.js';
 
@@ -24,7 +24,7 @@
 }
 
 describe('callers', () => {
-  itAlone('should get the answers of a pipeline in the order of its requests', (t) =>
+  itSerial('should get the answers of a pipeline in the order of its requests', (t) =>
     withFleet(async (fleet) => {
       const host = await oneHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -39,7 +39,7 @@
     }),
   );
 
-  itAlone('should have chunked bodies passed on whole, and their connection kept', (t) =>
+  itSerial('should have chunked bodies passed on whole, and their connection kept', (t) =>
     withFleet(async (fleet) => {
       const host = await oneHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -54,7 +54,7 @@
     }),
   );
 
-  itAlone('should have long bodies passed on whole, also when the target answers before it has read them', (t) =>
+  itSerial('should have long bodies passed on whole, also when the target answers before it has read them', (t) =>
     withFleet(async (fleet) => {
       const host = await oneHost(fleet);
       const body = 'x'.repeat(700_000);
@@ -71,7 +71,7 @@
     }),
   );
 
-  itAlone('should get their answer whole when they read slowly', (t) =>
+  itSerial('should get their answer whole when they read slowly', (t) =>
     withFleet(async (fleet) => {
       const host = await oneHost(fleet);
       host.target.padding = 900_000;
@@ -88,7 +88,7 @@
     }),
   );
 
-  itAlone('should be told 408 when their body does not come, and 431 for a head over the limit', (t) =>
+  itSerial('should be told 408 when their body does not come, and 431 for a head over the limit', (t) =>
     withFleet(async (fleet) => {
       const host = await oneHost(fleet, { max_header_bytes: 2_000 });
       const late = await RawCaller.open(host.calls);
@@ -102,7 +102,7 @@
     }),
   );
 
-  itAlone('should not smuggle a request inside another, nor have bytes after one taken for more', (t) =>
+  itSerial('should not smuggle a request inside another, nor have bytes after one taken for more', (t) =>
     withFleet(async (fleet) => {
       const host = await oneHost(fleet);
       const before = host.target.seen.length;
@@ -119,7 +119,7 @@
     }),
   );
 
-  itAlone('should free their target when they leave, unless what runs must not be repeated', (t) =>
+  itSerial('should free their target when they leave, unless what runs must not be repeated', (t) =>
     withFleet(async (fleet) => {
       const host = await oneHost(fleet);
       host.target.workMs = 400;
@@ -137,7 +137,7 @@
     }),
   );
 
-  itAlone('should have all of a pipeline answered when its last request asks for the end of the connection', (t) =>
+  itSerial('should have all of a pipeline answered when its last request asks for the end of the connection', (t) =>
     withFleet(async (fleet) => {
       const host = await oneHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -148,7 +148,7 @@
     }),
   );
 
-  itAlone('should be told to go on before a body, and get no body in answer to HEAD', (t) =>
+  itSerial('should be told to go on before a body, and get no body in answer to HEAD', (t) =>
     withFleet(async (fleet) => {
       const host = await oneHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -164,7 +164,7 @@
     }),
   );
 
-  itAlone('should have an idle connection ended after the limit, and a head that stalls answered 408', (t) =>
+  itSerial('should have an idle connection ended after the limit, and a head that stalls answered 408', (t) =>
     withFleet(async (fleet) => {
       const host = await oneHost(fleet, { idle_timeout_ms: 300, header_timeout_ms: 300 });
       const idle = await RawCaller.open(host.calls);
@@ -177,7 +177,7 @@
     }),
   );
 
-  itAlone('should have their long pipelines and slow reading held within bounds, and answered to the end', (t) =>
+  itSerial('should have their long pipelines and slow reading held within bounds, and answered to the end', (t) =>
     withFleet(async (fleet) => {
       // Time limits far away, and slots for all that are under way at once: however slow the machine is, all must be served.
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 60_000 }]);
@@ -204,7 +204,7 @@
     }),
   );
 
-  itAlone('should have the time in which their body came counted as waited', (t) =>
+  itSerial('should have the time in which their body came counted as waited', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/once/', service: 'reads', idempotent: false, timeoutMs: 60_000 }]);
       const host = await fleet.add('h1', 'reads');
--- a/tests/mesh/crashEvidence.spec.ts
+++ b/tests/mesh/crashEvidence.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 
@@ -26,7 +26,7 @@
 }
 
 describe('the end of a target', () => {
-  itAlone('should be told from that of a connection: all are gone, and the next is refused', async (t) => {
+  itSerial('should be told from that of a connection: all are gone, and the next is refused', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await withCallUnderWay(fleet);
       host.target.close();
@@ -35,7 +35,7 @@
     });
   });
 
-  itAlone('should count once, however many calls were under way', async (t) => {
+  itSerial('should count once, however many calls were under way', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await withCallUnderWay(fleet);
       const others = Array.from({ length: 8 }, () => fleet.call(host, '/s/3'));
@@ -46,7 +46,7 @@
     });
   });
 
-  itAlone('should be seen also when the caller had left before', async (t) => {
+  itSerial('should be seen also when the caller had left before', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const host = await fleet.add('a', 's');
@@ -59,7 +59,7 @@
     });
   });
 
-  itAlone('should not be seen in a connection that ends without an answer', async (t) => {
+  itSerial('should not be seen in a connection that ends without an answer', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await withCallUnderWay(fleet);
       host.target.mode = 'dropped';
@@ -70,7 +70,7 @@
     });
   });
 
-  itAlone('should not be seen in a target that answers too late', async (t) => {
+  itSerial('should not be seen in a target that answers too late', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await withCallUnderWay(fleet);
       await call;
@@ -80,7 +80,7 @@
     });
   });
 
-  itAlone('should not be seen in one that left as it said', async (t) => {
+  itSerial('should not be seen in one that left as it said', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await withCallUnderWay(fleet);
       t.is(await host.target.sendHeartbeat(host.control, 'draining'), 200);
@@ -90,7 +90,7 @@
     });
   });
 
-  itAlone('should not be seen in one that made place for another', async (t) => {
+  itSerial('should not be seen in one that made place for another', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await withCallUnderWay(fleet);
       const next = new UpstreamStandin('i-next', 's');
--- a/tests/mesh/deadTarget.spec.ts
+++ b/tests/mesh/deadTarget.spec.ts
@@ -5,12 +5,12 @@
 
 import { once } from 'node:events';
 import { createServer } from 'node:net';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
 import { withFleet } from './meshFleet.js';
 
 describe('a target that crashes while its daemon lives', () => {
-  itAlone('should be unreachable in its record at once, cost callers nothing, and be used again when it is back', async (t) => {
+  itSerial('should be unreachable in its record at once, cost callers nothing, and be used again when it is back', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const a = await fleet.add('a', 's');
@@ -50,7 +50,7 @@
  * next ten seconds went to b, whose record said "ready" all the time. `routing/placement` has the same without a network.
  */
 describe('a target whose first answers were slow', () => {
-  itAlone('should be used again once it is quick', async (t) => {
+  itSerial('should be used again once it is quick', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const a = await fleet.add('a', 's');
@@ -74,7 +74,7 @@
 
 /** A target that crashes again and again, and comes back each time: what was held against it before must not outlast its return. */
 describe('a target that crashed several times', () => {
-  itAlone('should be used by its own daemon as soon as its record says that it is ready', async (t) => {
+  itSerial('should be used by its own daemon as soon as its record says that it is ready', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       await fleet.add('a', 's');
@@ -104,7 +104,7 @@
 
 /** A daemon whose ports are taken in part ends whole: one that went on listening on the others kept its process, and callers waiting. */
 describe('a daemon that can not listen', () => {
-  itAlone('should say so, and keep none of its ports', async (t) => {
+  itSerial('should say so, and keep none of its ports', async (t) => {
     await withFleet(async (fleet) => {
       const prepared = await fleet.prepare('a', 's');
       const { calls, ready, control } = prepared.host;
@@ -127,7 +127,7 @@
 });
 
 describe('a daemon that starts before it knows anything', () => {
-  itAlone('should use the limits of the configuration that comes after its target is ready', async (t) => {
+  itSerial('should use the limits of the configuration that comes after its target is ready', async (t) => {
     await withFleet(async (fleet) => {
       const a = await fleet.add('a', 's');
       await fleet.until('the target to be ready', () => a.daemon.record.state === 'ready');
--- a/tests/mesh/fewReaders.spec.ts
+++ b/tests/mesh/fewReaders.spec.ts
@@ -5,7 +5,7 @@
 
 /** Daemons of one zone over the store: who reads it, and what reaches the others when readers die or the store turns them away. */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 
 const kTopic = 'keyed.gentiandrum-hosts';
@@ -44,7 +44,7 @@
 }
 
 describe('a zone of daemons', () => {
-  itAlone('should have two readers, whose version is in force at all', (t) =>
+  itSerial('should have two readers, whose version is in force at all', (t) =>
     withZone(async (fleet) => {
       fleet.configure([{ prefix: '/b/', service: 'reads' }]);
       await untilServed(fleet, '/b/x');
@@ -52,7 +52,7 @@
     }),
   );
 
-  itAlone('should get a new version also when both readers have just been killed', (t) =>
+  itSerial('should get a new version also when both readers have just been killed', (t) =>
     withZone(async (fleet) => {
       for (const reader of await readers(fleet)) {
         fleet.kill(reader);
@@ -64,7 +64,7 @@
     }),
   );
 
-  itAlone('should have the record of each host in the log, and take back one that was removed there', (t) =>
+  itSerial('should have the record of each host in the log, and take back one that was removed there', (t) =>
     withZone(async (fleet) => {
       const inLog = (): number => fleet.store.newest(kTopic).size;
       await fleet.until('all records to be in the log', () => inLog() === kHosts);
@@ -75,7 +75,7 @@
     }),
   );
 
-  itAlone('should tell a daemon that joins while the store is away of all hosts and the version, once one of them reaches it', (t) =>
+  itSerial('should tell a daemon that joins while the store is away of all hosts and the version, once one of them reaches it', (t) =>
     withZone(async (fleet) => {
       const late = await fleet.prepare('late', 'other');
       fleet.store.put(
--- a/tests/mesh/leaving.spec.ts
+++ b/tests/mesh/leaving.spec.ts
@@ -5,14 +5,14 @@
 
 /** Targets that leave, daemons that come back, and a store that is away. */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
 import { withFleet } from './meshFleet.js';
 
 const kTopic = 'keyed.gentiandrum-hosts';
 
 describe('a leaving target', () => {
-  itAlone('should get nothing new once its word was acknowledged, at any daemon', (t) =>
+  itSerial('should get nothing new once its word was acknowledged, at any daemon', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const stays = await fleet.add('h1', 'reads');
@@ -28,7 +28,7 @@
     }),
   );
 
-  itAlone('should stay so when an older heartbeat comes late', (t) =>
+  itSerial('should stay so when an older heartbeat comes late', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -39,7 +39,7 @@
     }),
   );
 
-  itAlone('should stay so for a daemon that started again, from the store alone', (t) =>
+  itSerial('should stay so for a daemon that started again, from the store alone', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -56,7 +56,7 @@
     }),
   );
 
-  itAlone('should stay so for a daemon that started again, from other daemons while the store is away', (t) =>
+  itSerial('should stay so for a daemon that started again, from other daemons while the store is away', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -76,7 +76,7 @@
 });
 
 describe('words of a target that come out of order', () => {
-  itAlone('should let a goodbye bind a daemon that hears of the target for the first time', (t) =>
+  itSerial('should let a goodbye bind a daemon that hears of the target for the first time', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads', { beat: false });
@@ -88,7 +88,7 @@
     }),
   );
 
-  itAlone('should not bring back an instance that another one has taken the place of', (t) =>
+  itSerial('should not bring back an instance that another one has taken the place of', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -109,7 +109,7 @@
 });
 
 describe('a daemon that starts again', () => {
-  itAlone('should use its target at once after a planned stop, before the next heartbeat', (t) =>
+  itSerial('should use its target at once after a planned stop, before the next heartbeat', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -123,7 +123,7 @@
     }),
   );
 
-  itAlone('should wait for its target after a kill: what was acknowledged last may be known to nobody', (t) =>
+  itSerial('should wait for its target after a kill: what was acknowledged last may be known to nobody', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -140,7 +140,7 @@
     }),
   );
 
-  itAlone('should be told "not run" by a target that is another instance by now', (t) =>
+  itSerial('should be told "not run" by a target that is another instance by now', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', idempotent: false }]);
       const host = await fleet.add('h1', 'reads');
@@ -165,7 +165,7 @@
 });
 
 describe('a planned stop', () => {
-  itAlone('should leave the target in use while callers turn away', (t) =>
+  itSerial('should leave the target in use while callers turn away', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const stops = await fleet.add('h1', 'reads');
@@ -182,7 +182,7 @@
 
 describe('a store that is away', () => {
   for (const mode of ['busy', 'limited', 'silent', 'reset', 'lost', 'full'] as const) {
-    itAlone(`should not keep a target that came meanwhile from being used (${mode})`, (t) =>
+    itSerial(`should not keep a target that came meanwhile from being used (${mode})`, (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/a/', service: 'reads' }]);
         const near = await fleet.add('h1', 'other');
@@ -200,7 +200,7 @@
     );
   }
 
-  itAlone('should not keep a version from a daemon that it turns away', (t) =>
+  itSerial('should not keep a version from a daemon that it turns away', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -218,7 +218,7 @@
     }),
   );
 
-  itAlone('should not make a daemon miss what was written while its history went', (t) =>
+  itSerial('should not make a daemon miss what was written while its history went', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -230,7 +230,7 @@
     }),
   );
 
-  itAlone('should not let an older version come back', (t) =>
+  itSerial('should not let an older version come back', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const old = fleet.store.newest('keyed.op').get('config') ?? '';
@@ -247,7 +247,7 @@
 });
 
 describe('the record of a host in the log', () => {
-  itAlone('should be written anew when a late write put an older one last, or it was erased', (t) =>
+  itSerial('should be written anew when a late write put an older one last, or it was erased', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -264,7 +264,7 @@
     }),
   );
 
-  itAlone('should be awaited by a daemon that starts again, though a peer that knows nothing answers first', (t) =>
+  itSerial('should be awaited by a daemon that starts again, though a peer that knows nothing answers first', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const target = new UpstreamStandin('i-h1', 'reads');
@@ -281,7 +281,7 @@
 });
 
 describe('a planned stop', () => {
-  itAlone('should end what runs, be unready at once, and send callers elsewhere', (t) =>
+  itSerial('should end what runs, be unready at once, and send callers elsewhere', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 4_000 }]);
       const stops = await fleet.add('h1', 'reads');
@@ -304,7 +304,7 @@
     }),
   );
 
-  itAlone('should answer a request that came late in the stop, though it takes longer than what was left to wait', (t) =>
+  itSerial('should answer a request that came late in the stop, though it takes longer than what was left to wait', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 4_000 }]);
       const stops = await fleet.add('h1', 'other');
--- a/tests/mesh/lethalRequests.spec.ts
+++ b/tests/mesh/lethalRequests.spec.ts
@@ -20,7 +20,7 @@
 
 import type { ExecutionContext } from 'ava';
 import { CrashingTarget } from '../platform/crashingTarget.js';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 
 const kHosts = 6;
@@ -137,33 +137,33 @@
 }
 
 describe('a request that ends the targets it runs on', () => {
-  itAlone('should end three at most when it is idempotent and comes every 0.3 s at any host', async (t) => {
+  itSerial('should end three at most when it is idempotent and comes every 0.3 s at any host', async (t) => {
     await withFleet(async (fleet) => {
       check(t, await play(fleet, { lethal: [{ everyMs: 300, method: 'GET', path: '/s/lethal' }] }), kMaxEnds);
     });
   });
 
-  itAlone('should end three at most when only its body sets it apart from good ones', async (t) => {
+  itSerial('should end three at most when only its body sets it apart from good ones', async (t) => {
     await withFleet(async (fleet) => {
       check(t, await play(fleet, { lethal: [{ everyMs: 300, method: 'POST', path: '/s/items/', body: '{"lethal":1}' }] }), kMaxEnds);
     });
   });
 
-  itAlone('should end three at most when it may run only once', async (t) => {
+  itSerial('should end three at most when it may run only once', async (t) => {
     await withFleet(async (fleet) => {
       const lethal = [{ everyMs: 300, method: 'POST' as const, path: '/once/lethal', body: '{}' }];
       check(t, await play(fleet, { lethal, idempotent: false }), kMaxEnds);
     });
   });
 
-  itAlone('should end three at most when it comes in at hosts of several services', async (t) => {
+  itSerial('should end three at most when it comes in at hosts of several services', async (t) => {
     await withFleet(async (fleet) => {
       const lethal = [{ everyMs: 300, method: 'GET' as const, path: '/s/lethal' }];
       check(t, await play(fleet, { lethal, otherHosts: 3 }), kMaxEnds);
     });
   });
 
-  itAlone('should end three at most also beside another kind of such requests', async (t) => {
+  itSerial('should end three at most also beside another kind of such requests', async (t) => {
     await withFleet(async (fleet) => {
       const kinds = ['/s/lethal/a', '/s/lethal/b'];
       const lethal = kinds.map((path) => ({ everyMs: 450, method: 'GET' as const, path }));
@@ -173,7 +173,7 @@
 });
 
 describe('targets that end by themselves', () => {
-  itAlone('should cost no request its turn', async (t) => {
+  itSerial('should cost no request its turn', async (t) => {
     await withFleet(async (fleet) => {
       const tally = await play(fleet, { endsEveryMs: 550 });
       check(t, tally, Infinity);
--- a/tests/mesh/links.spec.ts
+++ b/tests/mesh/links.spec.ts
@@ -10,7 +10,7 @@
 import { Duplex } from 'node:stream';
 import type { CallResult } from '@gentiandrum/core';
 import { MessageReader, MessageWriter, type PeerCall, PeerCalls, PeerLink, type PeerMessage } from '@gentiandrum/mesh';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 
 const kCall: PeerCall = {
@@ -76,7 +76,7 @@
 }
 
 describe('a link to another daemon', () => {
-  itAlone('should be given up when it stays silent, and the call answered 502: it may have run', (t) =>
+  itSerial('should be given up when it stays silent, and the call answered 502: it may have run', (t) =>
     withFleet((fleet) =>
       withStranger(
         () => undefined,
@@ -90,7 +90,7 @@
     ),
   );
 
-  itAlone('should answer 503 when it can not be opened: nothing ran', (t) =>
+  itSerial('should answer 503 when it can not be opened: nothing ran', (t) =>
     withFleet(async (fleet) => {
       const host = await believer(fleet, '127.0.0.1:9');
       const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
@@ -99,7 +99,7 @@
     }),
   );
 
-  itAlone('should answer 502 when it breaks with a call on it, or brings bytes that are no message', (t) =>
+  itSerial('should answer 502 when it breaks with a call on it, or brings bytes that are no message', (t) =>
     withFleet((fleet) =>
       withStranger(
         (socket) => {
@@ -137,7 +137,7 @@
         });
       };
 
-    itAlone('should answer 503 to a call that its last message does not count as taken', (t) =>
+    itSerial('should answer 503 to a call that its last message does not count as taken', (t) =>
       withFleet((fleet) =>
         withStranger(
           answerWith((id) => id - 1),
@@ -151,7 +151,7 @@
       ),
     );
 
-    itAlone('should answer 502 to a call that was taken and has no answer', (t) =>
+    itSerial('should answer 502 to a call that was taken and has no answer', (t) =>
       withFleet((fleet) =>
         withStranger(
           answerWith((id) => id),
@@ -163,7 +163,7 @@
       ),
     );
 
-    itAlone('should bring the count of calls that were taken as its last message', (t) =>
+    itSerial('should bring the count of calls that were taken as its last message', (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/a/', service: 'reads' }]);
         const near = await fleet.add('h1', 'other');
@@ -184,7 +184,7 @@
     );
   });
 
-  itAlone('should tell that a call was not run which was not yet written when the link ended', (t) => {
+  itSerial('should tell that a call was not run which was not yet written when the link ended', (t) => {
     const ends: CallResult[] = [];
     const calls = new PeerCalls(() => ({ cancel: () => undefined }));
     const socket = new Duplex({ read: () => undefined, write: () => undefined });
@@ -206,7 +206,7 @@
     t.deepEqual(ends, [{ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 }]);
   });
 
-  itAlone('should lead to the target again once its daemon is back', (t) =>
+  itSerial('should lead to the target again once its daemon is back', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const near = await fleet.add('h1', 'other');
@@ -219,7 +219,7 @@
     }),
   );
 
-  itAlone('should tell that a host is gone when another one answers at its address', (t) =>
+  itSerial('should tell that a host is gone when another one answers at its address', (t) =>
     withFleet(async (fleet) => {
       const heir = await fleet.add('h2', 'reads');
       const host = await believer(fleet, heir.daemon.record.peers);
--- a/tests/mesh/logFollower.spec.ts
+++ b/tests/mesh/logFollower.spec.ts
@@ -8,7 +8,7 @@
 import { monotonicMs, type TargetRecord, TargetDirectory } from '@gentiandrum/core';
 import { type ConfigSource, EventLog, LogFollower, type PeerMessage, type RecordLog } from '@gentiandrum/mesh';
 import { type MeshSettings, meshSettingsSchema } from '@gentiandrum/protocol';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kZone = 'z1';
@@ -240,7 +240,7 @@
 }
 
 describe('the first start of a deployment', () => {
-  itAlone('should have nobody read for others while hosts are still finding each other', async (t) => {
+  itSerial('should have nobody read for others while hosts are still finding each other', async (t) => {
     const time = new VirtualTime();
     try {
       const zone = new FakeZone(40, time, true);
@@ -258,7 +258,7 @@
 });
 
 describe('the calls of a zone to the log', () => {
-  itAlone('should hardly grow with its hosts', async (t) => {
+  itSerial('should hardly grow with its hosts', async (t) => {
     const calls: number[] = [];
     for (const count of [10, 40]) {
       await withZone(count, async (zone) => {
@@ -272,7 +272,7 @@
     t.true(many <= few + 5, String(many));
   });
 
-  itAlone('should bring the records of all hosts in a few appends, and say so to the hosts', (t) =>
+  itSerial('should bring the records of all hosts in a few appends, and say so to the hosts', (t) =>
     withZone(40, async (zone) => {
       await zone.run(10_000);
       t.is(zone.log.written.size, 40);
@@ -280,7 +280,7 @@
     }),
   );
 
-  itAlone('should stay few while the log answers nobody', (t) =>
+  itSerial('should stay few while the log answers nobody', (t) =>
     withZone(40, async (zone) => {
       zone.daemons.forEach(({ host }) => zone.log.refused.add(host));
       await zone.run(5_000);
@@ -306,14 +306,14 @@
     return zone.now - from;
   }
 
-  itAlone('should reach all while all is well, though most read nothing', (t) =>
+  itSerial('should reach all while all is well, though most read nothing', (t) =>
     withZone(40, async (zone) => {
       t.is(zone.readers.length, 2);
       t.true((await spreadMs(zone)) <= 700);
     }),
   );
 
-  itAlone('should be in time when one reader is killed or freezes', async (t) => {
+  itSerial('should be in time when one reader is killed or freezes', async (t) => {
     for (const seen of [true, false]) {
       await withZone(40, async (zone) => {
         const [reader] = zone.readers;
@@ -325,7 +325,7 @@
     }
   });
 
-  itAlone('should be in time when both readers are killed, and when both freeze', async (t) => {
+  itSerial('should be in time when both readers are killed, and when both freeze', async (t) => {
     for (const seen of [true, false]) {
       await withZone(40, async (zone) => {
         zone.readers.forEach((reader) => {
@@ -336,7 +336,7 @@
     }
   });
 
-  itAlone('should be in time when the log turns the readers away, and a third of the others', (t) =>
+  itSerial('should be in time when the log turns the readers away, and a third of the others', (t) =>
     withZone(40, async (zone) => {
       zone.readers.forEach(({ host }) => zone.log.refused.add(host));
       zone.daemons.filter((_, i) => i % 3 === 0).forEach(({ host }) => zone.log.refused.add(host));
@@ -345,7 +345,7 @@
     }),
   );
 
-  itAlone('should reach all within seconds once the log is back', (t) =>
+  itSerial('should reach all within seconds once the log is back', (t) =>
     withZone(40, async (zone) => {
       zone.daemons.forEach(({ host }) => zone.log.refused.add(host));
       await zone.run(15_000);
@@ -356,7 +356,7 @@
 });
 
 describe('a record that no reader writes', () => {
-  itAlone('should be written by its own host', (t) =>
+  itSerial('should be written by its own host', (t) =>
     withZone(10, async (zone) => {
       await zone.run(5_000);
       const lone = zone.daemons.find(({ follower }) => !follower.reads);
--- a/tests/mesh/metrics.spec.ts
+++ b/tests/mesh/metrics.spec.ts
@@ -3,11 +3,11 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { withFleet } from './meshFleet.js';
 
 describe('metrics of a routing daemon', () => {
-  itAlone('should count requests by service, outcome and reason, and show what the daemon believes', (t) =>
+  itSerial('should count requests by service, outcome and reason, and show what the daemon believes', (t) =>
     withFleet(async (fleet) => {
       const version = fleet.configure([
         { prefix: '/a/', service: 'reads' },
--- a/tests/mesh/peerLink.spec.ts
+++ b/tests/mesh/peerLink.spec.ts
@@ -6,7 +6,7 @@
 import type { Socket } from 'node:net';
 import { Duplex } from 'node:stream';
 import { MessageWriter, PeerLink } from '@gentiandrum/mesh';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 /** How often a daemon checks its links, in milliseconds. */
@@ -54,7 +54,7 @@
 }
 
 describe('a link whose other end is silent', () => {
-  itAlone('should be suspected within half a second when an answer is owed, and lost later', (t) => {
+  itSerial('should be suspected within half a second when an answer is owed, and lost later', (t) => {
     withLink((link, _socket, checkUntil, events) => {
       link.owed = 1;
       checkUntil(200);
@@ -68,7 +68,7 @@
     });
   });
 
-  itAlone('should be trusted again when it is heard of', (t) => {
+  itSerial('should be trusted again when it is heard of', (t) => {
     withLink((link, socket, checkUntil, events) => {
       link.owed = 1;
       checkUntil(500);
@@ -78,7 +78,7 @@
     });
   });
 
-  itAlone('should still be suspected within a second, and lost within two, after it has answered many probes', (t) => {
+  itSerial('should still be suspected within a second, and lost within two, after it has answered many probes', (t) => {
     withLink((link, socket, checkUntil, events) => {
       link.owed = 1;
       const kSoundMs = 5_000;
@@ -93,7 +93,7 @@
     });
   });
 
-  itAlone('should be probed less often while it answers', (t) => {
+  itSerial('should be probed less often while it answers', (t) => {
     withLink((link, socket, checkUntil) => {
       let probes = 0;
       link.send = () => {
@@ -112,7 +112,7 @@
     });
   });
 
-  itAlone('should not be judged by a time in which this process itself stood still', (t) => {
+  itSerial('should not be judged by a time in which this process itself stood still', (t) => {
     withLink((link, _socket, checkUntil, events, time) => {
       link.owed = 1;
       checkUntil(300);
@@ -122,7 +122,7 @@
     });
   });
 
-  itAlone('should be left alone while nothing is owed, and asked now and then', (t) => {
+  itSerial('should be left alone while nothing is owed, and asked now and then', (t) => {
     withLink((_link, _socket, checkUntil, events) => {
       checkUntil(2_000);
       t.deepEqual(events, []);
--- a/tests/mesh/quarantineLasts.spec.ts
+++ b/tests/mesh/quarantineLasts.spec.ts
@@ -6,7 +6,7 @@
 import type { ListedSuspect } from '@gentiandrum/core';
 import { request } from 'undici';
 import { CrashingTarget } from '../platform/crashingTarget.js';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 
 const kLethalPath = '/s/lethal';
@@ -55,7 +55,7 @@
 }
 
 describe('a kind of request that is held back', () => {
-  itAlone('should be refused at once as not run, with a time to come again', async (t) => {
+  itSerial('should be refused at once as not run, with a time to come again', async (t) => {
     await withFleet(async (fleet) => {
       const targets = await buildFleet(fleet, () => false);
       await untilHeld(fleet);
@@ -72,7 +72,7 @@
     });
   });
 
-  itAlone('should stay held back by a daemon that starts again, and by all of them', async (t) => {
+  itSerial('should stay held back by a daemon that starts again, and by all of them', async (t) => {
     await withFleet(async (fleet) => {
       const targets = await buildFleet(fleet, () => false);
       await untilHeld(fleet);
@@ -107,7 +107,7 @@
     });
   });
 
-  itAlone('should run again everywhere once an operator lets it, and be cleared by its first success', async (t) => {
+  itSerial('should run again everywhere once an operator lets it, and be cleared by its first success', async (t) => {
     await withFleet(async (fleet) => {
       let mended = false;
       const targets = await buildFleet(fleet, () => mended);
--- a/tests/mesh/storeEra.spec.ts
+++ b/tests/mesh/storeEra.spec.ts
@@ -9,14 +9,14 @@
  * written below it. The era in the answers tells.
  */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { withFleet } from './meshFleet.js';
 
 const kRecords = 'keyed.gentiandrum-hosts';
 const kConfig = 'keyed.op';
 
 describe('a store that comes back from a copy', () => {
-  itAlone('should bring no older configuration into force, and have the next one read wherever it stands', (t) =>
+  itSerial('should bring no older configuration into force, and have the next one read wherever it stands', (t) =>
     withFleet(async (fleet) => {
       fleet.store.era = 4;
       fleet.configure([{ prefix: '/s/', service: 's' }]);
@@ -32,7 +32,7 @@
     }),
   );
 
-  itAlone('should have the records of all hosts again soon', (t) =>
+  itSerial('should have the records of all hosts again soon', (t) =>
     withFleet(async (fleet) => {
       fleet.store.era = 4;
       fleet.configure([{ prefix: '/s/', service: 's' }]);
@@ -53,7 +53,7 @@
     }),
   );
 
-  itAlone('should be believed in nothing that it said before, and era that can not be read change nothing', (t) =>
+  itSerial('should be believed in nothing that it said before, and era that can not be read change nothing', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const host = await fleet.add('a', 's');
--- a/tests/mesh/suspension.spec.ts
+++ b/tests/mesh/suspension.spec.ts
@@ -9,7 +9,7 @@
  * counts it. Here the steady clock goes on as it is, and the time of day jumps as it does on waking up.
  */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, type TestWorkspace, withFleet } from './meshFleet.js';
 
 const kCrew: TestWorkspace = { name: 'crew', keys: ['key-of-crew'] };
@@ -41,7 +41,7 @@
 }
 
 describe('a host that was suspended', () => {
-  itAlone('should run no request with a key on a proof from before, and others as usual', (t) =>
+  itSerial('should run no request with a key on a proof from before, and others as usual', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       fleet.store.mode = 'silent';
@@ -56,7 +56,7 @@
     }),
   );
 
-  itAlone('should run requests with keys again once the log has answered', (t) =>
+  itSerial('should run requests with keys again once the log has answered', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       await afterSuspension(async () => {
@@ -66,7 +66,7 @@
     }),
   );
 
-  itAlone('should tell how often, in its metrics', (t) =>
+  itSerial('should tell how often, in its metrics', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       await afterSuspension(async () => {
@@ -76,7 +76,7 @@
     }),
   );
 
-  itAlone('should not be seen in a time of day that is set back', (t) =>
+  itSerial('should not be seen in a time of day that is set back', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       const { now } = Date;
--- a/tests/mesh/workspaces.spec.ts
+++ b/tests/mesh/workspaces.spec.ts
@@ -5,7 +5,7 @@
 
 /** Keys, revocation and quotas over real sockets. */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type CallerAnswer, type FleetHost, type MeshFleet, type TestWorkspace, withFleet } from './meshFleet.js';
 import { RawCaller, requestText } from './rawCaller.js';
 
@@ -31,7 +31,7 @@
 }
 
 describe('keys', () => {
-  itAlone('should be needed, stay at the daemon, and give the target the name of their workspace whatever the caller says', (t) =>
+  itSerial('should be needed, stay at the daemon, and give the target the name of their workspace whatever the caller says', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       const refused = await fleet.call(host, '/a/x');
@@ -49,7 +49,7 @@
     }),
   );
 
-  itAlone('should not be looked at on exempt routes, and not passed on either', (t) =>
+  itSerial('should not be looked at on exempt routes, and not passed on either', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       for (const headers of [{}, bearer('key-of-crew'), bearer('nobody'), { 'x-tenant-id': 'crew' }]) {
@@ -60,7 +60,7 @@
     }),
   );
 
-  itAlone('should not be asked for, but passed on, without workspaces', (t) =>
+  itSerial('should not be asked for, but passed on, without workspaces', (t) =>
     withFleet(async (fleet) => {
       fleet.configure(kRoutes);
       const host = await fleet.add('h1', 'reads');
@@ -71,7 +71,7 @@
     }),
   );
 
-  itAlone('should be refused when two headers differ', (t) =>
+  itSerial('should be refused when two headers differ', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       for (const [second, status] of [
@@ -86,7 +86,7 @@
     }),
   );
 
-  itAlone('should work for the workspace that the newest version says, and for none once they are taken away', (t) =>
+  itSerial('should work for the workspace that the newest version says, and for none once they are taken away', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       fleet.configure(kRoutes, {}, 50, [
@@ -105,7 +105,7 @@
     }),
   );
 
-  itAlone('should stand in no metric', (t) =>
+  itSerial('should stand in no metric', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       await fleet.call(host, '/a/x', { headers: bearer('unknown-key') });
@@ -117,7 +117,7 @@
 });
 
 describe('revocation', () => {
-  itAlone('should end requests with keys at a daemon that the log does not answer, and nothing else', (t) =>
+  itSerial('should end requests with keys at a daemon that the log does not answer, and nothing else', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet, [kCrew], kStrict);
       fleet.store.mode = 'silent';
@@ -140,7 +140,7 @@
     }),
   );
 
-  itAlone('should not concern daemons where it is not strict', (t) =>
+  itSerial('should not concern daemons where it is not strict', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet, [kCrew], { ...kStrict, revocation: { strict: false, withinMs: 1_000 } });
       fleet.store.mode = 'silent';
@@ -149,7 +149,7 @@
     }),
   );
 
-  itAlone('should not stop a zone whose daemons the log refuses, while another zone can tell', (t) =>
+  itSerial('should not stop a zone whose daemons the log refuses, while another zone can tell', (t) =>
     withFleet(async (fleet) => {
       fleet.configure(kRoutes, {}, 50, [kCrew]);
       const reader = await fleet.add('h1', 'reads', { zone: 'z1', settings: kStrict });
@@ -175,7 +175,7 @@
 });
 
 describe('quotas', () => {
-  itAlone('should bound what runs over all daemons, say when to come back, and leave others alone', (t) =>
+  itSerial('should bound what runs over all daemons, say when to come back, and leave others alone', (t) =>
     withFleet(async (fleet) => {
       const workspaces = [kCrew, { name: 'bulk', keys: ['key-of-bulk'], ratePerSecond: 5, burst: 5 }];
       const settings = { quotas: kQuota };
@@ -205,7 +205,7 @@
     }),
   );
 
-  itAlone('should give back the token of a request that did not run', (t) =>
+  itSerial('should give back the token of a request that did not run', (t) =>
     withFleet(async (fleet) => {
       const workspaces = [{ name: 'bulk', keys: ['key-of-bulk'], ratePerSecond: 0.01, burst: 6 }];
       const host = await start(fleet, workspaces, {
--- a/tests/platform/foreignWriters.spec.ts
+++ b/tests/platform/foreignWriters.spec.ts
@@ -12,7 +12,7 @@
 import { UpstreamStandin } from './upstreamStandin.js';
 import { StoreStandin } from './storeStandin.js';
 import { withFleet } from '../mesh/meshFleet.js';
-import { describe, it, itAlone } from '../support/describe.js';
+import { describe, it, itSerial } from '../support/describe.js';
 
 const kTopic = 'keyed.gentiandrum-hosts';
 const kPath = '/v1/instances/i-1';
@@ -85,7 +85,7 @@
     t.is(platformDialect.readAnnouncement('DELETE', kPath, Buffer.alloc(0))?.state, 'gone');
   });
 
-  itAlone('should not replace the target', (t) =>
+  itSerial('should not replace the target', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -108,7 +108,7 @@
 });
 
 describe('records of other writers', () => {
-  itAlone('should be skipped while valid records are read', async (t) => {
+  itSerial('should be skipped while valid records are read', async (t) => {
     const store = new StoreStandin();
     const address = await store.start();
     const client = new StoreClient(address, new EventLog('h1', 0, 0));
--- a/tests/platform/topicReader.spec.ts
+++ b/tests/platform/topicReader.spec.ts
@@ -8,7 +8,7 @@
 import type { TargetRecord } from '@gentiandrum/core';
 import { EventLog, type RecordChange } from '@gentiandrum/mesh';
 import { StoreClient, StoreRecordLog } from '@gentiandrum/platform';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { StoreStandin } from './storeStandin.js';
 
 const kTopic = 'keyed.gentiandrum-hosts';
@@ -45,7 +45,7 @@
 }
 
 describe('records in the store', () => {
-  itAlone('should be appended in one call and read back unchanged', (t) =>
+  itSerial('should be appended in one call and read back unchanged', (t) =>
     withRecords(async (store, records, seen) => {
       t.true(await records.append([recordOf('h1'), recordOf('h2'), recordOf('h3')]));
       t.is(store.calls, 1);
@@ -58,7 +58,7 @@
     }),
   );
 
-  itAlone('should cause no calls unless they are requested', (t) =>
+  itSerial('should cause no calls unless they are requested', (t) =>
     withRecords(async (store, records) => {
       await records.readNewest();
       store.put(kTopic, 'h1', JSON.stringify(recordOf('h1')));
@@ -67,14 +67,14 @@
     }),
   );
 
-  itAlone('should be read once for concurrent requests', (t) =>
+  itSerial('should be read once for concurrent requests', (t) =>
     withRecords(async (store, records) => {
       t.deepEqual(await Promise.all([records.readNewest(), records.readNewest(), records.readNewest()]), [true, true, true]);
       t.is(store.calls, 1);
     }),
   );
 
-  itAlone('should be reported while followed, including those written before the first read', (t) =>
+  itSerial('should be reported while followed, including those written before the first read', (t) =>
     withRecords(async (store, records, seen) => {
       store.put(kTopic, 'h1', JSON.stringify(recordOf('h1')));
       records.follow(true);
@@ -87,7 +87,7 @@
     }),
   );
 
-  itAlone('should report failing calls and recovery', (t) =>
+  itSerial('should report failing calls and recovery', (t) =>
     withRecords(async (store, records) => {
       store.mode = 'busy';
       t.false(await records.readNewest());
--- a/tests/quarantine/histories.spec.ts
+++ b/tests/quarantine/histories.spec.ts
@@ -9,7 +9,7 @@
  */
 
 import { type Random, seededRandom } from '@gentiandrum/core';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type RequestType, QuarantineFleet } from './quarantineFleet.js';
 
 const kHosts = 8;
@@ -124,7 +124,7 @@
 }
 
 describe('requests that crash their targets, in seeded histories', () => {
-  itAlone('should crash at most three targets at any request rate, with hardly any effect on harmless requests', (t) => {
+  itSerial('should crash at most three targets at any request rate, with hardly any effect on harmless requests', (t) => {
     let histories = 0;
     for (const everyMs of [30, 300, 1_600]) {
       for (const seed of seeds(60)) {
@@ -141,7 +141,7 @@
     t.is(histories, 180);
   });
 
-  itAlone('should crash at most three targets per fingerprint with several lethal types, idempotent or not', (t) => {
+  itSerial('should crash at most three targets per fingerprint with several lethal types, idempotent or not', (t) => {
     for (const idempotent of [true, false]) {
       for (const seed of seeds(60)) {
         const { lethal } = runHistory(seed, { lethalEveryMs: [450, 450], idempotent });
@@ -154,7 +154,7 @@
     }
   });
 
-  itAlone('should crash at most three targets on each side of a network partition, and none afterwards for what one side knew', (t) => {
+  itSerial('should crash at most three targets on each side of a network partition, and none afterwards for what one side knew', (t) => {
     for (const seed of seeds(80)) {
       const { lethal } = runHistory(seed, { lethalEveryMs: [300], partition: { from: 20 + seed * 40, until: 6_000 + seed * 20 } });
       const details = `seed ${seed}: ${JSON.stringify(lethal)}`;
@@ -167,7 +167,7 @@
 });
 
 describe('targets that crash spontaneously, in seeded histories', () => {
-  itAlone('should not cause any quarantine', (t) => {
+  itSerial('should not cause any quarantine', (t) => {
     let crashes = 0;
     let innocent = 0;
     let notServed = 0;
@@ -182,7 +182,7 @@
     t.true(notServed <= innocent * kMaxNotServed, JSON.stringify({ innocent, notServed }));
   });
 
-  itAlone('should not cause a quarantine besides that of a lethal request', (t) => {
+  itSerial('should not cause a quarantine besides that of a lethal request', (t) => {
     for (const seed of seeds(60)) {
       const { quarantined } = runHistory(seed, { crashesEveryMs: 1_500, lethalEveryMs: [400] });
       t.true(quarantined <= 1, `seed ${seed}: ${quarantined} fingerprints quarantined`);
--- a/tests/quarantine/suspectTable.spec.ts
+++ b/tests/quarantine/suspectTable.spec.ts
@@ -5,7 +5,7 @@
 
 import { type CrashMark, fingerprintOf, mergeMarks, type RequestIdentity, screenOf, SuspectTable } from '@gentiandrum/core';
 import fc from 'fast-check';
-import { describe, it, itAlone } from '../support/describe.js';
+import { describe, it, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kHourMs = 60 * 60_000;
@@ -79,7 +79,7 @@
     t.is(table.verdict(fingerprintOf({ ...kIdentity, path: '/other' })), 'clear');
   });
 
-  itAlone('should quarantine for one hour, then two, then four, then until a release', (t) => {
+  itSerial('should quarantine for one hour, then two, then four, then until a release', (t) => {
     const time = new VirtualTime();
     try {
       const table = new SuspectTable();
@@ -105,7 +105,7 @@
     }
   });
 
-  itAlone('should quarantine for only 30 seconds without a crash during a probe', (t) => {
+  itSerial('should quarantine for only 30 seconds without a crash during a probe', (t) => {
     const time = new VirtualTime();
     try {
       const table = new SuspectTable();
--- a/tests/retries/repeatBudget.spec.ts
+++ b/tests/retries/repeatBudget.spec.ts
@@ -5,7 +5,7 @@
 
 import { RepeatBudget } from '@gentiandrum/core';
 import fc from 'fast-check';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kBound = { ratio: 0.2, extra: 47, windowSeconds: 10 };
@@ -28,7 +28,7 @@
 }
 
 describe('repeat budget', () => {
-  itAlone('should keep the sum over all targets within the bound of the service under any load', (t) => {
+  itSerial('should keep the sum over all targets within the bound of the service under any load', (t) => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 6 }),
@@ -71,7 +71,7 @@
     t.pass();
   });
 
-  itAlone('should start empty, so that a restart grants no repeats', (t) => {
+  itSerial('should start empty, so that a restart grants no repeats', (t) => {
     const time = new VirtualTime();
     t.false(new RepeatBudget(kBound).spend(1, false));
     time.restore();
--- a/tests/retries/timers.spec.ts
+++ b/tests/retries/timers.spec.ts
@@ -6,10 +6,10 @@
 import { importanceIndex, runAttempts } from '@gentiandrum/core';
 import { MatrixWorld } from '../matrix/matrixWorld.js';
 import { onwardCall } from '../matrix/request.js';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 
 describe('a call that waits for a response', () => {
-  itAlone('should time out instead of waiting again when its timer fires just before the deadline', (t) => {
+  itSerial('should time out instead of waiting again when its timer fires just before the deadline', (t) => {
     const world = new MatrixWorld([], { beta: ['b'] });
     const terms = { root: 'r', attempt: '', path: '', depth: 0, cohort: 0, importance: importanceIndex('normal'), repeatable: false };
     const cls = {
--- a/tests/routing/deadTargets.spec.ts
+++ b/tests/routing/deadTargets.spec.ts
@@ -16,7 +16,7 @@
   TargetReachability,
   type TargetRecord,
 } from '@gentiandrum/core';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kHosts = 70;
@@ -249,24 +249,24 @@
 }
 
 describe('dead targets, a tenth of all, with running daemons', () => {
-  itAlone('should receive almost no offers after a second, at 0.7 of the remaining capacity', (t) => {
+  itSerial('should receive almost no offers after a second, at 0.7 of the remaining capacity', (t) => {
     const { offers, unsuccessful, requests, served } = simulate(0.7, 3_000, 1_000);
     t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers unsuccessful`);
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
   });
 
-  itAlone('should receive almost no offers at 1.2 of the remaining capacity, with the others kept busy', (t) => {
+  itSerial('should receive almost no offers at 1.2 of the remaining capacity, with the others kept busy', (t) => {
     const { offers, unsuccessful, requests, served } = simulate(1.2, 3_000, 1_000);
     t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers unsuccessful`);
     t.true(served >= 0.7 * requests, `${served} of ${requests} served`);
   });
 
-  itAlone('should fail few requests in the first second, as an unsuccessful offer consumes no attempt', (t) => {
+  itSerial('should fail few requests in the first second, as an unsuccessful offer consumes no attempt', (t) => {
     const { requests, served } = simulate(0.7, 1_000, 10);
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
   });
 
-  itAlone('should be used again within 1.5 seconds of their recovery', (t) => {
+  itSerial('should be used again within 1.5 seconds of their recovery', (t) => {
     const { requests, served, unsuccessful, offers } = simulate(0.95, 6_000, 3_500, (fleet, now) => {
       if (now === 2_000) {
         fleet.dead.clear();
@@ -276,7 +276,7 @@
     t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers unsuccessful`);
   });
 
-  itAlone('should cause few unsuccessful offers while another target flaps', (t) => {
+  itSerial('should cause few unsuccessful offers while another target flaps', (t) => {
     const { offers, unsuccessful, requests, served } = simulate(0.7, 6_000, 1_000, (fleet, now) => {
       if (now % 1_000 === 0) {
         if (fleet.dead.has(3)) {
--- a/tests/routing/placement.spec.ts
+++ b/tests/routing/placement.spec.ts
@@ -4,7 +4,7 @@
  */
 
 import { Placement, seededRandom, type TargetRecord } from '@gentiandrum/core';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kRoute = { name: 'search', latencyTargetMs: 200 };
@@ -32,7 +32,7 @@
 }
 
 describe('placement', () => {
-  itAlone('should stay in its zone unless the latency there exceeds the cost of another zone', (t) => {
+  itSerial('should stay in its zone unless the latency there exceeds the cost of another zone', (t) => {
     withPlacement((placement) => {
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
       recordAnswer(placement, 'near', 'search', 60);
@@ -45,7 +45,7 @@
     });
   });
 
-  itAlone('should leave its zone for a free target only when its own target is full', (t) => {
+  itSerial('should leave its zone for a free target only when its own target is full', (t) => {
     withPlacement((placement) => {
       const load = (inFlight: number): void => {
         placement.recordSent('near');
@@ -58,7 +58,7 @@
     });
   });
 
-  itAlone('should not leave its zone because of slower routes there', (t) => {
+  itSerial('should not leave its zone because of slower routes there', (t) => {
     withPlacement((placement) => {
       for (let i = 0; i < 30; i++) {
         recordAnswer(placement, 'near', 'report', 2_000);
@@ -68,14 +68,14 @@
     });
   });
 
-  itAlone('should assume the mean latency for an unknown host', (t) => {
+  itSerial('should assume the mean latency for an unknown host', (t) => {
     withPlacement((placement) => {
       recordAnswer(placement, 'near', 'search', 150);
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
     });
   });
 
-  itAlone('should leave its zone after repeated failures, not after a single one, and return later', (t) => {
+  itSerial('should leave its zone after repeated failures, not after a single one, and return later', (t) => {
     withPlacement((placement, time) => {
       const end = (failed: boolean): void => {
         placement.recordSent('near');
@@ -94,7 +94,7 @@
   });
 
   /** Guards against a target that is never chosen again after slow responses, as only responses update its mean latency. */
-  itAlone('should retry a target that was slow, and use it like others once it is fast', (t) => {
+  itSerial('should retry a target that was slow, and use it like others once it is fast', (t) => {
     const time = new VirtualTime();
     try {
       const random = seededRandom(5);
@@ -120,7 +120,7 @@
     }
   });
 
-  itAlone('should report the targets of its zone that are never chosen, with their statistics', (t) => {
+  itSerial('should report the targets of its zone that are never chosen, with their statistics', (t) => {
     withPlacement((placement) => {
       const twin = record('twin', 'z1');
       for (let i = 0; i < 10; i++) {
@@ -139,7 +139,7 @@
     });
   });
 
-  itAlone('should send almost no calls to a target that stays slow', (t) => {
+  itSerial('should send almost no calls to a target that stays slow', (t) => {
     const time = new VirtualTime();
     try {
       const placement = new Placement('near', 'z1', seededRandom(5));
@@ -157,7 +157,7 @@
     }
   });
 
-  itAlone('should spread calls over equal targets by their outstanding calls', (t) => {
+  itSerial('should spread calls over equal targets by their outstanding calls', (t) => {
     withPlacement((placement) => {
       const twin = record('twin', 'z1');
       placement.recordSent('near');
@@ -168,7 +168,7 @@
     });
   });
 
-  itAlone('should deprioritize an unreachable host for a limited time, unless there is no other', (t) => {
+  itSerial('should deprioritize an unreachable host for a limited time, unless there is no other', (t) => {
     withPlacement((placement, time) => {
       placement.markUnreachable('near');
       t.is(placement.choose([kNear, kFar], kNone, kRoute), kFar);
@@ -187,7 +187,7 @@
       placement.recordResult(host, 'report', { load, tookMs: 50, bytes: 1_000, failed: false });
     };
 
-    itAlone('should grow with the load of the chosen targets, and decay without calls', (t) => {
+    itSerial('should grow with the load of the chosen targets, and decay without calls', (t) => {
       withPlacement((placement, time) => {
         t.is(placement.chargeMs('capacity'), 0);
         for (let i = 0; i < 40; i++) {
@@ -201,7 +201,7 @@
       });
     });
 
-    itAlone('should move calls to another zone at the top of the call chain', (t) => {
+    itSerial('should move calls to another zone at the top of the call chain', (t) => {
       const time = new VirtualTime();
       try {
         const placement = new Placement('near', 'z1', () => 0.5);
@@ -219,7 +219,7 @@
       }
     });
 
-    itAlone('should keep calls with large bodies in their zone at higher charges', (t) => {
+    itSerial('should keep calls with large bodies in their zone at higher charges', (t) => {
       const time = new VirtualTime();
       try {
         const placement = new Placement('near', 'z1', () => 0.5);
--- a/tests/routing/targetSubset.spec.ts
+++ b/tests/routing/targetSubset.spec.ts
@@ -6,7 +6,7 @@
 /** Guards against uneven load when many ingresses choose among the targets of a service independently. */
 
 import { Placement, RendezvousRank, seededRandom, subsetFor, type TargetRecord } from '@gentiandrum/core';
-import { describe, it, itAlone } from '../support/describe.js';
+import { describe, it, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kZones = 5;
@@ -118,12 +118,12 @@
     }
   }
 
-  itAlone('should load equal targets evenly', (t) => {
+  itSerial('should load equal targets evenly', (t) => {
     const { busiest } = busiestOverMean(new Set());
     t.true(busiest <= 2.5, String(busiest));
   });
 
-  itAlone('should send slow targets less than their share', (t) => {
+  itSerial('should send slow targets less than their share', (t) => {
     const { slowShare } = busiestOverMean(new Set(['host-10', 'host-11', 'host-12', 'host-13', 'host-14']));
     t.true(slowShare <= 0.7, String(slowShare));
   });
--- a/tests/support/describe.ts
+++ b/tests/support/describe.ts
@@ -23,6 +23,6 @@
 }
 
 /** Declares a test that no other of its file runs beside: for those that hold the clock, or whole fleets. */
-export function itAlone(title: string, body: (t: ExecutionContext) => void | Promise<void>): void {
+export function itSerial(title: string, body: (t: ExecutionContext) => void | Promise<void>): void {
   test.serial([...titles, title].join(kSeparator), body);
 }
--- a/tests/support/heldClock.ts
+++ b/tests/support/fakeClock.ts
@@ -8,7 +8,7 @@
 import { type Clock, install } from '@sinonjs/fake-timers';
 
 /** Runs a test body with the clock held; `clock.tick` advances it. */
-export function withHeldClock<T>(body: (clock: Clock) => T): T {
+export function withFakeClock<T>(body: (clock: Clock) => T): T {
   const clock = install({ now: 0, toFake: ['performance', 'Date'] });
   try {
     return body(clock);
--- a/tests/support/fleet.ts
+++ b/tests/support/fleet.ts
@@ -16,7 +16,7 @@
 import { freeAddress } from './freePorts.js';
 
 const kDaemonBin = fileURLToPath(new URL('../../../packages/daemon/bin/gentiandrumd.js', import.meta.url));
-const kClientBin = fileURLToPath(new URL('../../../packages/cli/bin/gentiandrum.js', import.meta.url));
+const kCliBin = fileURLToPath(new URL('../../../packages/cli/bin/gentiandrum.js', import.meta.url));
 const kStandin = fileURLToPath(new URL('../standins/main.js', import.meta.url));
 const kReadyTimeoutMs = 20_000;
 const kPollMs = 50;
@@ -42,7 +42,7 @@
 }
 
 /** Result of a client command. */
-export interface ClientRun {
+export interface CliResult {
   code: number;
   out: string;
   err: string;
@@ -53,7 +53,7 @@
   readonly hosts = new Map<string, FleetHost>();
   logUrl = '';
   /** All lines of all daemons so far, also of those that ended and started again. */
-  private readonly _lines: string[] = [];
+  private readonly _logLines: string[] = [];
   private readonly _folder = mkdtempSync(join(tmpdir(), 'gentiandrum-'));
   private readonly _processes = new Set<ChildProcess>();
 
@@ -70,20 +70,20 @@
   }
 
   /** Starts one host, at the given address or a free one. */
-  async startHost(plan: HostPlan, settings: Partial<Settings> = {}, at?: string): Promise<FleetHost> {
-    const address = at ?? (await freeAddress());
+  async startHost(plan: HostPlan, settings: Partial<Settings> = {}, fixedAddress?: string): Promise<FleetHost> {
+    const address = fixedAddress ?? (await freeAddress());
     const file = join(this._folder, `${plan.id}.yaml`);
     const seeds = [...this.hosts.values()].slice(0, 2).map((host) => host.address);
-    const own = { id: plan.id, listen: address, zone: plan.zone, region: plan.region ?? 'one', log: this.logUrl, seeds };
-    writeFileSync(file, stringify({ chainSecret: 'a secret of the tests', ...own, ...settings }));
+    const hostSettings = { id: plan.id, listen: address, zone: plan.zone, region: plan.region ?? 'one', log: this.logUrl, seeds };
+    writeFileSync(file, stringify({ chainSecret: 'a secret of the tests', ...hostSettings, ...settings }));
     const daemon = spawn(process.execPath, [kDaemonBin, '--settings', file], { stdio: ['ignore', 'pipe', 'pipe'] });
     this._processes.add(daemon);
     const host: FleetHost = { id: plan.id, zone: plan.zone, address, daemon, targetUrl: '', logs: [] };
-    collect(daemon, host.logs, this._lines);
+    collectLines(daemon, host.logs, this._logLines);
     this.hosts.set(plan.id, host);
     await until(`daemon ${plan.id} answers`, async () => {
       if (daemon.exitCode !== null) {
-        throw new EndedEarly(plan.id, daemon.exitCode, host.logs);
+        throw new ExitedEarlyError(plan.id, daemon.exitCode, host.logs);
       }
       return (await fetch(`http://${address}/-/status`)).ok;
     });
@@ -111,29 +111,29 @@
   }
 
   /** Lines of all daemons about the requests that are named in some texts, such as answers of the kind of a problem. */
-  linesAbout(texts: readonly string[]): string {
+  logLinesFor(texts: readonly string[]): string {
     const requests = texts.flatMap((text) => /"instance":"([^"]+)"/.exec(text)?.[1] ?? []);
-    return this._lines.filter((line) => requests.some((id) => line.includes(`"${id}"`))).join('\n');
+    return this._logLines.filter((line) => requests.some((id) => line.includes(`"${id}"`))).join('\n');
   }
 
   /** What each daemon believes of the others now, and all lines about that so far: for a failure that does not come again. */
-  async report(): Promise<string> {
+  async diagnostics(): Promise<string> {
     const views = [...this.hosts.keys()].map(async (id) => {
       const status = await this.status(id).catch((err: unknown) => String(err));
       return `${id}: ${JSON.stringify(status)}`;
     });
-    return [...(await Promise.all(views)), ...this._lines.filter((line) => /"(members|start|stop|target): /.test(line))].join('\n');
+    return [...(await Promise.all(views)), ...this._logLines.filter((line) => /"(members|start|stop|target): /.test(line))].join('\n');
   }
 
   /** Runs a command of the client. */
-  async client(args: string[], input?: unknown): Promise<ClientRun> {
+  async runCli(args: string[], input?: unknown): Promise<CliResult> {
     const file = join(this._folder, `input-${Math.random().toString(36).slice(2)}.yaml`);
     writeFileSync(file, stringify(input ?? {}));
     const first = [...this.hosts.values()][0];
     const daemon = args.includes('--daemon') ? [] : ['--daemon', first?.address ?? ''];
-    const filled = args.map((arg) => (arg === 'FILE' ? file : arg));
-    const child = spawn(process.execPath, [kClientBin, ...filled, ...daemon], { stdio: ['ignore', 'pipe', 'pipe'] });
-    const [out, err, code] = await Promise.all([text(child.stdout), text(child.stderr), exitOf(child)]);
+    const resolvedArgs = args.map((arg) => (arg === 'FILE' ? file : arg));
+    const child = spawn(process.execPath, [kCliBin, ...resolvedArgs, ...daemon], { stdio: ['ignore', 'pipe', 'pipe'] });
+    const [out, err, code] = await Promise.all([readText(child.stdout), readText(child.stderr), exitOf(child)]);
     return { code, out, err };
   }
 
@@ -208,18 +208,18 @@
 }
 
 /** A daemon ended while it was waited for, such as one that can't listen: waiting on would only hide why. */
-class EndedEarly extends Error {
+class ExitedEarlyError extends Error {
   constructor(id: string, code: number, logs: readonly string[]) {
     super(`expected that daemon ${id} answers, but it ended with code ${code}: ${logs.join('\n')}`);
   }
 }
 
 /** Waits until a condition holds; a failing check counts as not yet. */
-export async function until(what: string, holds: () => Promise<boolean>): Promise<void> {
-  const end = performance.now() + kReadyTimeoutMs;
+export async function until(what: string, condition: () => Promise<boolean>): Promise<void> {
+  const deadline = performance.now() + kReadyTimeoutMs;
   for (;;) {
-    const done = await holds().catch((err: unknown) => {
-      if (err instanceof EndedEarly) {
+    const done = await condition().catch((err: unknown) => {
+      if (err instanceof ExitedEarlyError) {
         throw err;
       }
       return false;
@@ -227,7 +227,7 @@
     if (done) {
       return;
     }
-    if (performance.now() > end) {
+    if (performance.now() > deadline) {
       throw new Error(`expected that ${what}, but it did not happen`);
     }
     await new Promise((resolve) => setTimeout(resolve, kPollMs));
@@ -246,16 +246,16 @@
   );
 }
 
-function collect(child: ChildProcess, ...lists: string[][]): void {
-  const take = (data: Buffer): void => {
+function collectLines(child: ChildProcess, ...lists: string[][]): void {
+  const append = (data: Buffer): void => {
     const lines = data.toString().split('\n').filter(Boolean);
     lists.forEach((list) => list.push(...lines));
   };
-  child.stdout?.on('data', take);
-  child.stderr?.on('data', take);
+  child.stdout?.on('data', append);
+  child.stderr?.on('data', append);
 }
 
-async function text(stream: NodeJS.ReadableStream | null): Promise<string> {
+async function readText(stream: NodeJS.ReadableStream | null): Promise<string> {
   let all = '';
   for await (const chunk of stream ?? []) {
     all += chunk.toString();
--- a/tests/support/freePorts.ts
+++ b/tests/support/freePorts.ts
@@ -13,24 +13,24 @@
 import { createServer, type Server } from 'node:net';
 
 const kFirstPort = 12_000;
-const kPortsOfBlock = 200;
-const kBlocks = 100;
+const kPortsPerBlock = 200;
+const kBlockCount = 100;
 
-interface Block {
+interface PortBlock {
   first: number;
-  taken: number;
+  used: number;
 }
 
-let block: Promise<Block> | undefined;
+let block: Promise<PortBlock> | undefined;
 
 /** Addresses on the loopback that are free, and that no other test process chooses. */
 export async function freeAddresses(count: number): Promise<string[]> {
-  block ??= takeBlock();
-  const own = await block;
+  block ??= reserveBlock();
+  const reserved = await block;
   const addresses: string[] = [];
   while (addresses.length < count) {
     // Ports of fleets that have ended are used again.
-    const port = own.first + 1 + (own.taken++ % (kPortsOfBlock - 1));
+    const port = reserved.first + 1 + (reserved.used++ % (kPortsPerBlock - 1));
     const server = await listenOn(port);
     if (server) {
       await new Promise((resolve) => server.close(resolve));
@@ -46,16 +46,16 @@
   return address;
 }
 
-async function takeBlock(): Promise<Block> {
-  for (let i = 0; i < kBlocks; i++) {
-    const first = kFirstPort + ((process.pid + i) % kBlocks) * kPortsOfBlock;
+async function reserveBlock(): Promise<PortBlock> {
+  for (let i = 0; i < kBlockCount; i++) {
+    const first = kFirstPort + ((process.pid + i) % kBlockCount) * kPortsPerBlock;
     const server = await listenOn(first);
     if (server) {
       server.unref();
-      return { first, taken: 0 };
+      return { first, used: 0 };
     }
   }
-  throw new Error(`expected a free block among ${kBlocks}, got none`);
+  throw new Error(`expected a free block among ${kBlockCount}, got none`);
 }
 
 /** Listens on a port of the loopback; undefined when it is in use. */
