--- a/tests/standins/linkStandin.ts
+++ b/tests/standins/linkStandin.ts
@@ -16,7 +16,7 @@
   /** @param _port port of the daemon on the loopback */
   constructor(private readonly _port: number) {
     this._server = createServer((socket) => {
-      this._pass(socket);
+      this._forward(socket);
     });
   }
 
@@ -41,22 +41,22 @@
     this._server.close();
   }
 
-  private _pass(socket: Socket): void {
+  private _forward(socket: Socket): void {
     if (this._cut) {
       socket.destroy();
       return;
     }
-    const onward = createConnection(this._port, '127.0.0.1');
-    for (const end of [socket, onward]) {
-      this._sockets.add(end);
-      end.on('error', () => end.destroy());
-      end.on('close', () => {
-        this._sockets.delete(end);
+    const upstream = createConnection(this._port, '127.0.0.1');
+    for (const endpoint of [socket, upstream]) {
+      this._sockets.add(endpoint);
+      endpoint.on('error', () => endpoint.destroy());
+      endpoint.on('close', () => {
+        this._sockets.delete(endpoint);
         socket.destroy();
-        onward.destroy();
+        upstream.destroy();
       });
     }
-    socket.pipe(onward);
-    onward.pipe(socket);
+    socket.pipe(upstream);
+    upstream.pipe(socket);
   }
 }
--- a/tests/standins/logStandin.ts
+++ b/tests/standins/logStandin.ts
@@ -77,7 +77,7 @@
       sendJson(res, 200, { appends: this.appends, reads: this.reads });
       return;
     }
-    await pause(this.faults.slowMs);
+    await delay(this.faults.slowMs);
     if (this.faults.silent) {
       return;
     }
@@ -154,6 +154,6 @@
   }
 }
 
-function pause(ms: number): Promise<void> {
+function delay(ms: number): Promise<void> {
   return ms > 0 ? new Promise((resolve) => setTimeout(resolve, ms)) : Promise.resolve();
 }
--- a/tests/standins/targetStandin.ts
+++ b/tests/standins/targetStandin.ts
@@ -43,10 +43,10 @@
   daemon: string;
 }
 
-const kAnnounceMs = 500;
+const kAnnounceIntervalMs = 500;
 /** Time for which a call that ends the process runs, in milliseconds. */
-const kFatalMs = 30;
-const kConnections = 1_000;
+const kCrashDelayMs = 30;
+const kMaxConnections = 1_000;
 
 /** A target. */
 export class TargetStandin {
@@ -65,7 +65,7 @@
     private readonly _place: TargetPlace,
     behaviour: Partial<Behaviour> = {},
   ) {
-    const none = {
+    const defaults = {
       workMs: 1,
       onward: [],
       slots: 50,
@@ -77,7 +77,7 @@
       endsOn: '',
       echo: false,
     };
-    this.behaviour = { ...none, ...behaviour };
+    this.behaviour = { ...defaults, ...behaviour };
     this._server = createServer((req, res) => {
       void this._serve(req, res).catch(() => res.destroy());
     });
@@ -91,7 +91,7 @@
     this._url = `http://127.0.0.1:${typeof address === 'object' && address ? address.port : 0}`;
     this._timer = setInterval(() => {
       void this.announce();
-    }, kAnnounceMs);
+    }, kAnnounceIntervalMs);
     await this.announce();
   }
 
@@ -99,7 +99,7 @@
   async announce(): Promise<boolean> {
     const { target, service, daemon } = this._place;
     const { slots, accepting } = this.behaviour;
-    const body = JSON.stringify({ target, service, url: this._url, slots, connections: kConnections, accepting, load: this._running });
+    const body = JSON.stringify({ target, service, url: this._url, slots, connections: kMaxConnections, accepting, load: this._running });
     try {
       const res = await fetch(`http://${daemon}/-/announce`, { method: 'POST', body, headers: { 'content-type': 'application/json' } });
       return res.ok;
@@ -139,26 +139,26 @@
     this.runs.set(call, (this.runs.get(call) ?? 0) + 1);
     const { endsOn } = this.behaviour;
     if (endsOn !== '' && req.url?.includes(endsOn) === true) {
-      setTimeout(() => process.exit(1), kFatalMs);
+      setTimeout(() => process.exit(1), kCrashDelayMs);
       return;
     }
-    const gone = (): boolean => res.closed && !res.writableEnded;
+    const callerGone = (): boolean => res.closed && !res.writableEnded;
     await new Promise((resolve) => setTimeout(resolve, this.behaviour.workMs));
     for (const onward of this.behaviour.onward) {
-      const status = gone() ? 499 : await this._callOnward(onward, req, res);
+      const status = callerGone() ? 499 : await this._callOnward(onward, req, res);
       if (status >= 400) {
-        this._finish(res, status >= 500 ? 502 : status, 'onward call failed');
+        this._sendStatus(res, status >= 500 ? 502 : status, 'onward call failed');
         return;
       }
     }
-    if (gone()) {
+    if (callerGone()) {
       this.cancelled++;
       return;
     }
-    this._answer(req, res, body);
+    this._respond(req, res, body);
   }
 
-  private _answer(req: IncomingMessage, res: ServerResponse, body: Buffer): void {
+  private _respond(req: IncomingMessage, res: ServerResponse, body: Buffer): void {
     const { behaviour } = this;
     if (behaviour.drop > 0) {
       behaviour.drop--;
@@ -170,7 +170,7 @@
       setTimeout(() => res.destroy(), 5);
     } else if (behaviour.failures > 0) {
       behaviour.failures--;
-      this._finish(res, behaviour.failStatus, 'failed on demand');
+      this._sendStatus(res, behaviour.failStatus, 'failed on demand');
     } else {
       const text = behaviour.echo ? body : Buffer.from(`${this._place.service} ${req.method} ${req.url}`);
       res.writeHead(200, { 'x-target': this._place.target, 'x-digest': createHash('sha256').update(text).digest('hex') }).end(text);
@@ -178,7 +178,7 @@
     }
   }
 
-  private _finish(res: ServerResponse, status: number, text: string): void {
+  private _sendStatus(res: ServerResponse, status: number, text: string): void {
     res.writeHead(status, { 'x-target': this._place.target }).end(text);
     this.ended++;
   }
@@ -194,17 +194,17 @@
     }
     return new Promise((resolve) => {
       const url = `http://${this._place.daemon}/${onward.service}${onward.path}`;
-      const sent = httpRequest(url, { method: onward.method, headers }, (answer) => {
-        answer.resume();
-        answer.on('end', () => {
-          resolve(answer.statusCode ?? 502);
+      const onwardReq = httpRequest(url, { method: onward.method, headers }, (onwardRes) => {
+        onwardRes.resume();
+        onwardRes.on('end', () => {
+          resolve(onwardRes.statusCode ?? 502);
         });
       });
-      sent.on('error', () => {
+      onwardReq.on('error', () => {
         resolve(502);
       });
-      res.on('close', () => sent.destroy());
-      sent.end();
+      res.on('close', () => onwardReq.destroy());
+      onwardReq.end();
     });
   }
 
