--- a/tests/standins/logStandin.ts
+++ b/tests/standins/logStandin.ts
@@ -3,24 +3,24 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stand-in for the platform's log: in memory, over its documented HTTP interface, with fault switches. */
+/** In-memory stand-in for the platform's log, with its documented HTTP interface and fault switches. */
 
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { readJson, sendJson } from './httpJson.js';
 
 /** Fault switches, set by `POST /faults`. */
 export interface LogFaults {
-  /** Answers nothing but 503. */
+  /** Responds to every request with 503. */
   down: boolean;
-  /** Accepts connections and never answers. */
+  /** Accepts connections and never responds. */
   silent: boolean;
-  /** Waits so long before each answer, in milliseconds. */
+  /** Delay before each response, in milliseconds. */
   slowMs: number;
-  /** Appends that take effect and are never answered. */
+  /** Number of upcoming appends that take effect without a response. */
   loseReplies: number;
-  /** Appends that are stored twice. */
+  /** Number of upcoming appends that are stored twice. */
   duplicate: number;
-  /** Records kept per stream. */
+  /** Number of records retained per stream. */
   retain: number;
 }
 
@@ -32,7 +32,6 @@
 
 const kNoFaults: LogFaults = { down: false, silent: false, slowMs: 0, loseReplies: 0, duplicate: 0, retain: 100_000 };
 
-/** The platform's log in memory. */
 export class LogStandin {
   faults: LogFaults = { ...kNoFaults };
   appends = 0;
@@ -47,20 +46,20 @@
     this._server.keepAliveTimeout = 75_000;
   }
 
-  /** Listens on the loopback; gives the base address. */
+  /** Listens on the loopback interface and returns the base URL. */
   async listen(port = 0): Promise<string> {
     await new Promise<void>((resolve) => this._server.listen(port, '127.0.0.1', resolve));
     const address = this._server.address();
     return `http://127.0.0.1:${typeof address === 'object' && address ? address.port : port}`;
   }
 
-  /** Stops listening. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this._server.close();
     this._server.closeAllConnections();
   }
 
-  /** Records of a stream, for checks. */
+  /** Returns the records of a stream. */
   records(stream: string): unknown[] {
     return this._stream(stream).records;
   }
--- a/tests/standins/main.ts
+++ b/tests/standins/main.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Runs one stand-in as a process: `main.js log` or `main.js target '{"place":…,"behaviour":…}'`. Its address is its first line. */
+/** Runs one stand-in as a process: `main.js log` or `main.js target '{"place":…,"behaviour":…}'`. Prints its URL as the first line. */
 
 import { LogStandin } from './logStandin.js';
 import { type Behaviour, type TargetPlace, TargetStandin } from './targetStandin.js';
--- a/tests/standins/targetStandin.ts
+++ b/tests/standins/targetStandin.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stand-in for a target: announces itself, does timed work in slots, calls onward, sheds and fails on demand. */
+/** Stand-in for a target: announces itself, does timed work, makes onward calls, and sheds or fails as configured. */
 
 import { createHash } from 'node:crypto';
 import { createServer, type IncomingMessage, request as httpRequest, type Server, type ServerResponse } from 'node:http';
@@ -16,27 +16,27 @@
   path: string;
 }
 
-/** What a target does; changed by `POST /-/behaviour`. */
+/** Configurable behaviour of a target, changed by `POST /-/behaviour`. */
 export interface Behaviour {
   workMs: number;
   onward: OnwardCall[];
-  /** Calls that run at once; more are shed with 503 and `Retry-After`. */
+  /** Maximum number of concurrent calls; further ones are shed with 503 and `Retry-After`. */
   slots: number;
   accepting: boolean;
-  /** Answers with this status instead of 200, for the next `failures` calls. */
+  /** Response status of the next `failures` calls, instead of 200. */
   failStatus: number;
   failures: number;
-  /** Cuts so many answers half way. */
+  /** Number of upcoming responses that are truncated. */
   truncate: number;
-  /** Closes the connection without an answer, after the work, so many times. */
+  /** Number of upcoming calls whose connection is closed after the work without a response. */
   drop: number;
-  /** A call whose path has this in it ends the process while it runs; none when empty. */
+  /** The process exits while it runs a call whose path contains this text; disabled if empty. */
   endsOn: string;
-  /** Echoes the request's body instead of a short text. */
+  /** Returns the request body instead of a short text. */
   echo: boolean;
 }
 
-/** Where a target stands. */
+/** Name of a target, its service and the address of its daemon. */
 export interface TargetPlace {
   target: string;
   service: string;
@@ -44,13 +44,12 @@
 }
 
 const kAnnounceIntervalMs = 500;
-/** Time for which a call that ends the process runs, in milliseconds. */
+/** Time between the start of a call that crashes the process and the crash, in milliseconds. */
 const kCrashDelayMs = 30;
 const kMaxConnections = 1_000;
 
-/** A target. */
 export class TargetStandin {
-  /** Runs by the `x-call` header of the requests. */
+  /** Number of runs by the `x-call` header of the requests. */
   readonly runs = new Map<string, number>();
   started = 0;
   ended = 0;
@@ -84,7 +83,7 @@
     this._server.keepAliveTimeout = 75_000;
   }
 
-  /** Listens on the loopback and announces itself from now on. */
+  /** Listens on the loopback interface and starts to announce itself periodically. */
   async start(): Promise<void> {
     await new Promise<void>((resolve) => this._server.listen(0, '127.0.0.1', resolve));
     const address = this._server.address();
@@ -95,7 +94,7 @@
     await this.announce();
   }
 
-  /** Announces itself once; true when the daemon took it. */
+  /** Announces itself once; returns whether the daemon accepted the announcement. */
   async announce(): Promise<boolean> {
     const { target, service, daemon } = this._place;
     const { slots, accepting } = this.behaviour;
@@ -183,7 +182,7 @@
     this.ended++;
   }
 
-  /** Calls onward through the own daemon, with the chain's headers copied as any traced service does. */
+  /** Makes an onward call through the local daemon, and propagates the trace headers as an instrumented service does. */
   private _callOnward(onward: OnwardCall, req: IncomingMessage, res: ServerResponse): Promise<number> {
     const headers: Record<string, string> = {};
     for (const name of ['baggage', 'traceparent', 'x-call']) {
@@ -218,7 +217,7 @@
     sendJson(res, 200, { started, ended, cancelled, running, runs: Object.fromEntries(this.runs) });
   }
 
-  /** Base address of the target. */
+  /** Base URL of the target; empty before the start. */
   get url(): string {
     return this._url;
   }
