--- a/tests/support/describe.ts
+++ b/tests/support/describe.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Nested `describe` blocks for ava: titles are joined, and nothing else is added. */
+/** Nested `describe` blocks for ava: joins the titles of the blocks and the test. */
 
 import test, { type ExecutionContext } from 'ava';
 
@@ -17,12 +17,12 @@
   titles.pop();
 }
 
-/** Declares a test; its title reads "should …". */
+/** Declares a test whose title starts with "should". */
 export function it(title: string, body: (t: ExecutionContext) => void | Promise<void>): void {
   test([...titles, title].join(kSeparator), body);
 }
 
-/** Declares a test that no other of its file runs beside: for those that hold the clock, or whole fleets. */
+/** Declares a test that runs serially within its file, as tests with a fake clock or a shared fleet must. */
 export function itSerial(title: string, body: (t: ExecutionContext) => void | Promise<void>): void {
   test.serial([...titles, title].join(kSeparator), body);
 }
--- a/tests/support/fleet.ts
+++ b/tests/support/fleet.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** A small deployment of real processes on the loopback: log stand-in, daemons and targets. */
+/** A small deployment of real processes on the loopback interface: log stand-in, daemons and targets. */
 
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -21,7 +21,7 @@
 const kReadyTimeoutMs = 20_000;
 const kPollMs = 50;
 
-/** A daemon with its target, if it has one. */
+/** A running daemon and its target, if any. */
 export interface FleetHost {
   id: string;
   zone: string;
@@ -32,7 +32,7 @@
   logs: string[];
 }
 
-/** What a host of the fleet runs. */
+/** Configuration of a host of the fleet. */
 export interface HostPlan {
   id: string;
   zone: string;
@@ -41,7 +41,7 @@
   behaviour?: Partial<Behaviour>;
 }
 
-/** Result of a client command. */
+/** Result of a command of the command-line client. */
 export interface CliResult {
   code: number;
   out: string;
@@ -52,15 +52,15 @@
 export class Fleet {
   readonly hosts = new Map<string, FleetHost>();
   logUrl = '';
-  /** All lines of all daemons so far, also of those that ended and started again. */
+  /** Log lines of all daemons so far, including those that exited or restarted. */
   private readonly _logLines: string[] = [];
   private readonly _folder = mkdtempSync(join(tmpdir(), 'gentiandrum-'));
   private readonly _processes = new Set<ChildProcess>();
 
-  /** Starts the log and the hosts, and waits until the daemons answer. */
+  /** Starts the log and the hosts, and waits until the daemons respond. */
   static async start(plans: HostPlan[], settings: Partial<Settings> = {}): Promise<Fleet> {
     const fleet = new Fleet();
-    // Also when the start fails: nothing that was started may outlive this process.
+    // Registered first, so that no child process outlives this one if the start fails.
     process.once('exit', () => {
       fleet.stop();
     });
@@ -69,7 +69,7 @@
     return fleet;
   }
 
-  /** Starts one host, at the given address or a free one. */
+  /** Starts one host, at the given address or at a free one. */
   async startHost(plan: HostPlan, settings: Partial<Settings> = {}, fixedAddress?: string): Promise<FleetHost> {
     const address = fixedAddress ?? (await freeAddress());
     const file = join(this._folder, `${plan.id}.yaml`);
@@ -81,7 +81,7 @@
     const host: FleetHost = { id: plan.id, zone: plan.zone, address, daemon, targetUrl: '', logs: [] };
     collectLines(daemon, host.logs, this._logLines);
     this.hosts.set(plan.id, host);
-    await until(`daemon ${plan.id} answers`, async () => {
+    await until(`daemon ${plan.id} responds`, async () => {
       if (daemon.exitCode !== null) {
         throw new ExitedEarlyError(plan.id, daemon.exitCode, host.logs);
       }
@@ -101,7 +101,7 @@
     host.targetUrl = await line;
   }
 
-  /** The host of this name. */
+  /** Returns a host by its id. */
   host(id: string): FleetHost {
     const host = this.hosts.get(id);
     if (!host) {
@@ -110,13 +110,13 @@
     return host;
   }
 
-  /** Lines of all daemons about the requests that are named in some texts, such as answers of the kind of a problem. */
+  /** Returns the log lines of all daemons about the requests whose ids occur in `texts`, such as problem+json bodies. */
   logLinesFor(texts: readonly string[]): string {
     const requests = texts.flatMap((text) => /"instance":"([^"]+)"/.exec(text)?.[1] ?? []);
     return this._logLines.filter((line) => requests.some((id) => line.includes(`"${id}"`))).join('\n');
   }
 
-  /** What each daemon believes of the others now, and all lines about that so far: for a failure that does not come again. */
+  /** Returns the status of every daemon and all log lines about membership and lifecycle so far, for failure messages. */
   async diagnostics(): Promise<string> {
     const views = [...this.hosts.keys()].map(async (id) => {
       const status = await this.status(id).catch((err: unknown) => String(err));
@@ -125,7 +125,7 @@
     return [...(await Promise.all(views)), ...this._logLines.filter((line) => /"(members|start|stop|target): /.test(line))].join('\n');
   }
 
-  /** Runs a command of the client. */
+  /** Runs a command of the command-line client. The argument FILE is replaced by a YAML file with `input`. */
   async runCli(args: string[], input?: unknown): Promise<CliResult> {
     const file = join(this._folder, `input-${Math.random().toString(36).slice(2)}.yaml`);
     writeFileSync(file, stringify(input ?? {}));
@@ -137,30 +137,30 @@
     return { code, out, err };
   }
 
-  /** Sets the faults of the log. */
+  /** Sets the fault switches of the log stand-in. */
   async setLogFaults(faults: object): Promise<void> {
     await fetch(`${this.logUrl}/faults`, { method: 'POST', body: JSON.stringify(faults) });
   }
 
-  /** Changes what a target does. */
+  /** Changes the behaviour of a host's target. */
   async setBehaviour(id: string, behaviour: Partial<Behaviour>): Promise<void> {
     await fetch(`${this.host(id).targetUrl}/-/behaviour`, { method: 'POST', body: JSON.stringify(behaviour) });
   }
 
-  /** Runs of a target by the calls' `x-call` header. */
+  /** Number of runs at a host's target, by the `x-call` header of the calls. */
   async runsOf(id: string): Promise<Record<string, number>> {
     const res = await fetch(`${this.host(id).targetUrl}/-/counts`);
     return ((await res.json()) as { runs: Record<string, number> }).runs;
   }
 
-  /** Runs of one call over all targets of the fleet. */
+  /** Number of runs of one call at all targets of the fleet. */
   async totalRuns(call: string): Promise<number> {
     const ids = [...this.hosts.values()].filter((host) => host.targetUrl !== '').map((host) => host.id);
     const counts = await Promise.all(ids.map(async (id) => (await this.runsOf(id))[call] ?? 0));
     return counts.reduce((sum, count) => sum + count, 0);
   }
 
-  /** Status as a daemon tells it. */
+  /** Requests the status of a daemon. */
   async status(
     id: string,
   ): Promise<{ version: number; members: { id: string; state: string; service: string; targetState: string; configVersion: number }[] }> {
@@ -168,7 +168,7 @@
     return (await res.json()) as Awaited<ReturnType<Fleet['status']>>;
   }
 
-  /** Waits until every daemon knows so many serving targets of a service. */
+  /** Waits until every daemon knows exactly `count` serving targets of a service. */
   async untilTargets(service: string, count: number): Promise<void> {
     await Promise.all(
       [...this.hosts.keys()].map((id) =>
@@ -180,14 +180,14 @@
     );
   }
 
-  /** Waits until every daemon holds a version. */
+  /** Waits until every daemon has at least this version of the configuration. */
   async untilVersion(version: number): Promise<void> {
     await Promise.all(
-      [...this.hosts.keys()].map((id) => until(`${id} holds version ${version}`, async () => (await this.status(id)).version >= version)),
+      [...this.hosts.keys()].map((id) => until(`${id} has version ${version}`, async () => (await this.status(id)).version >= version)),
     );
   }
 
-  /** Kills everything that was started. */
+  /** Kills all processes and removes the temporary files. */
   stop(): void {
     for (const child of this._processes) {
       child.kill('SIGKILL');
@@ -207,14 +207,14 @@
   }
 }
 
-/** A daemon ended while it was waited for, such as one that can't listen: waiting on would only hide why. */
+/** A daemon exited during its start, for example because it could not listen. Ends the wait at once with its log. */
 class ExitedEarlyError extends Error {
   constructor(id: string, code: number, logs: readonly string[]) {
-    super(`expected that daemon ${id} answers, but it ended with code ${code}: ${logs.join('\n')}`);
+    super(`expected daemon ${id} to respond, but it exited with code ${code}: ${logs.join('\n')}`);
   }
 }
 
-/** Waits until a condition holds; a failing check counts as not yet. */
+/** Polls until a condition is true; an error of the condition counts as false. Throws after a timeout. */
 export async function until(what: string, condition: () => Promise<boolean>): Promise<void> {
   const deadline = performance.now() + kReadyTimeoutMs;
   for (;;) {
@@ -228,13 +228,13 @@
       return;
     }
     if (performance.now() > deadline) {
-      throw new Error(`expected that ${what}, but it did not happen`);
+      throw new Error(`timed out waiting until ${what}`);
     }
     await new Promise((resolve) => setTimeout(resolve, kPollMs));
   }
 }
 
-/** Exit code of a process; -1 when a signal ended it. */
+/** Resolves with the exit code of a process; -1 if a signal killed it. */
 export function exitOf(child: ChildProcess): Promise<number> {
   if (child.exitCode !== null || child.signalCode !== null) {
     return Promise.resolve(child.exitCode ?? -1);
--- a/tests/support/freePorts.ts
+++ b/tests/support/freePorts.ts
@@ -4,10 +4,8 @@
  */
 
 /**
- * Ports for processes under test: below the range from which the system takes ports of outgoing connections, which could otherwise be
- * given one between its choice and its use. Each test process has a block of its own, also beside other runs of the tests: it listens on
- * the first port of the block until it ends. A process under test may take seconds until it listens on its port, and two fleets that chose
- * the same one answered each other's calls.
+ * Ports for processes under test, below the ephemeral range so that no outgoing connection takes one before its process listens on it.
+ * Each test process reserves a block by listening on its first port, so that concurrent test processes never choose the same ports.
  */
 
 import { createServer, type Server } from 'node:net';
@@ -23,13 +21,13 @@
 
 let block: Promise<PortBlock> | undefined;
 
-/** Addresses on the loopback that are free, and that no other test process chooses. */
+/** Returns free addresses on the loopback interface that no other test process chooses. */
 export async function freeAddresses(count: number): Promise<string[]> {
   block ??= reserveBlock();
   const reserved = await block;
   const addresses: string[] = [];
   while (addresses.length < count) {
-    // Ports of fleets that have ended are used again.
+    // Wraps around, so that ports of stopped fleets are reused.
     const port = reserved.first + 1 + (reserved.used++ % (kPortsPerBlock - 1));
     const server = await listenOn(port);
     if (server) {
@@ -40,7 +38,7 @@
   return addresses;
 }
 
-/** One such address. */
+/** Returns one free address, see `freeAddresses`. */
 export async function freeAddress(): Promise<string> {
   const [address = ''] = await freeAddresses(1);
   return address;
@@ -55,10 +53,10 @@
       return { first, used: 0 };
     }
   }
-  throw new Error(`expected a free block among ${kBlockCount}, got none`);
+  throw new Error(`expected a free block of ports among ${kBlockCount}, got none`);
 }
 
-/** Listens on a port of the loopback; undefined when it is in use. */
+/** Listens on a port of the loopback interface; undefined if the port is in use. */
 function listenOn(port: number): Promise<Server | undefined> {
   const server = createServer();
   return new Promise((resolve) => {
--- a/tests/support/sampleConfig.ts
+++ b/tests/support/sampleConfig.ts
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** A configuration that several tests start from. */
+/** A sample configuration for tests. */
 
-/** Two services; reads of each importance, and a hold that must run at most once. */
+/** Two services with idempotent reads of several importances, and holds that must run at most once. */
 export const kSampleConfig = {
   services: { alpha: {}, beta: {} },
   classes: {
