--- a/tests/e2e/commandLine.spec.ts
+++ b/tests/e2e/commandLine.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The two programs as an operator meets them: settings, commands, their errors, and the bounds that settings draw. */
+/** The daemon and the command-line client from an operator's view: settings, commands, their errors, and limits from the settings. */
 
 import { spawn } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
@@ -64,7 +64,7 @@
 }
 
 describe('gentiandrumd', () => {
-  itSerial('should tell every fault of its settings at once, with path, what was expected and what came', async (t) => {
+  itSerial('should report all invalid settings at once, with path, expected and actual value', async (t) => {
     const { code, err } = await runDaemon(['--settings', settingsFile('id: UPPER\nlisten: nowhere\nzone: east\nspeed: 3\n')]);
     t.is(code, 2);
     for (const part of [
@@ -80,20 +80,20 @@
     t.false(err.includes('    at '));
   });
 
-  itSerial('should refuse a file that is missing or no YAML', async (t) => {
+  itSerial('should reject a settings file that is missing or not valid YAML', async (t) => {
     t.is((await runDaemon(['--settings', '/nowhere.yaml'])).code, 2);
     t.is((await runDaemon(['--settings', settingsFile('a: [1')])).code, 2);
     t.is((await runDaemon([])).code, 2);
   });
 
-  itSerial('should only check when asked to', async (t) => {
+  itSerial('should only validate the settings with --check', async (t) => {
     const good = settingsFile('id: x\nlisten: 127.0.0.1:1\nzone: z\nregion: r\nlog: http://127.0.0.1:1\nchainSecret: 0123456789abcdef\n');
     const { code, out } = await runDaemon(['--settings', good, '--check']);
     t.is(code, 0);
     t.regex(out, /valid/);
   });
 
-  itSerial('should bound the bodies in flight, and refuse the rest as not run', async (t) => {
+  itSerial('should limit the bytes of bodies in flight, and reject further requests as not_run', async (t) => {
     await fleet.setBehaviour('b1', { workMs: 300 });
     const pending = Array.from({ length: 6 }, (_, i) =>
       fetch(`http://${fleet.host('b1').address}/beta/big`, {
@@ -109,7 +109,7 @@
     await fleet.setBehaviour('b1', { workMs: 1 });
   });
 
-  itSerial('should run both of two equal holds of one call, and neither again when that call is retried', async (t) => {
+  itSerial('should run two identical onward calls of one call, and neither again when that call is retried', async (t) => {
     await Promise.all(['a1', 'a2'].map((id) => fleet.setBehaviour(id, { failures: 0 })));
     await fleet.setBehaviour('a1', { failures: 1 });
     const res = await fetch(`http://${fleet.host('a1').address}/alpha/x`, { method: 'PUT', headers: { 'x-call': 'chain-holds' } });
@@ -127,8 +127,8 @@
     { title: 'a missing argument', args: ['apply'], code: 2, pattern: /missing required args/ },
     { title: 'an unknown option', args: ['status', '--fast'], code: 2, pattern: /Unknown option/ },
     { title: 'a missing base', args: ['apply', 'FILE'], code: 2, pattern: /expected --base to be a whole number, got nothing/ },
-    { title: 'a base that is no number', args: ['apply', 'FILE', '--base', 'x'], code: 2, pattern: /got "x"/ },
-    { title: 'a patch that is no map', args: ['apply', 'FILE', '--base', '1'], input: [1], code: 2, pattern: /a map of settings/ },
+    { title: 'a base that is not a number', args: ['apply', 'FILE', '--base', 'x'], code: 2, pattern: /got "x"/ },
+    { title: 'a patch that is not a map', args: ['apply', 'FILE', '--base', '1'], input: [1], code: 2, pattern: /a map of settings/ },
     {
       title: 'a patch against an old version',
       args: ['apply', 'FILE', '--base', '0'],
@@ -143,17 +143,17 @@
       pattern: /retryRatio/,
     },
     {
-      title: 'a daemon that is not there',
+      title: 'an unreachable daemon',
       args: ['status', '--daemon', '127.0.0.1:1'],
       code: 4,
       pattern: /expected a daemon at 127.0.0.1:1/,
     },
-    { title: 'a version that is not kept', args: ['get', '--at', '99'], code: 1, pattern: /Expected a version that is still kept/ },
+    { title: 'a version that is not retained', args: ['get', '--at', '99'], code: 1, pattern: /Expected a version that is still kept/ },
     { title: 'an unknown request', args: ['explain', 'x~1~1'], code: 1, pattern: /no daemon has decisions for it/ },
     { title: 'a missing file', args: ['validate', '/nowhere.yaml'], code: 2, pattern: /expected a readable YAML file/ },
   ];
   for (const { title, args, input, code, pattern } of cases) {
-    itSerial(`should answer ${title} with exit code ${code} and a plain line`, async (t) => {
+    itSerial(`should answer ${title} with exit code ${code} and no stack trace`, async (t) => {
       const run = await fleet.runCli(args, input);
       t.is(run.code, code, run.err);
       t.regex(run.err, pattern);
@@ -161,7 +161,7 @@
     });
   }
 
-  itSerial('should print JSON on every reading command', async (t) => {
+  itSerial('should print JSON for every read command with --json', async (t) => {
     for (const command of ['get', 'history', 'status']) {
       const { out, code } = await fleet.runCli([command, '--json']);
       t.is(code, 0);
@@ -178,7 +178,9 @@
 
   itSerial('should drain a target and undo it', async (t) => {
     t.is((await fleet.runCli(['drain', 'a2-target', '--wait'])).code, 0);
-    await until('a2 leaves', async () => (await fleet.status('a1')).members.some((m) => m.id === 'a2' && m.targetState === 'leaving'));
+    await until('a1 knows that a2 is draining', async () =>
+      (await fleet.status('a1')).members.some((m) => m.id === 'a2' && m.targetState === 'leaving'),
+    );
     t.is((await fleet.runCli(['drain', 'a2-target', '--undo', '--wait'])).code, 0);
     await fleet.untilTargets('alpha', 2);
   });
--- a/tests/e2e/faults.spec.ts
+++ b/tests/e2e/faults.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Faults of hosts, targets and the log, over real processes; judged by outcome, never by wall time. */
+/** Faults of hosts, targets and the log, over real processes. The checks depend on outcomes, not on elapsed time. */
 
 import test from 'ava';
 import { describe, itSerial } from '../support/describe.js';
@@ -66,7 +66,7 @@
 }
 
 describe('a target', () => {
-  itSerial('should be passed over when it sheds, and the caller told not_run when all do', async (t) => {
+  itSerial('should be skipped when it sheds, and the caller receive not_run when all targets shed', async (t) => {
     await fleet.setBehaviour('b1', { slots: 0 });
     t.is((await send('a1', '/beta/x', 'shed-one')).status, 200);
     await fleet.setBehaviour('b2', { slots: 0 });
@@ -76,7 +76,7 @@
     t.is(await fleet.totalRuns('shed-all'), 0);
   });
 
-  itSerial('should have a cut answer retried for a read, and told as unknown for a hold', async (t) => {
+  itSerial('should have a truncated response retried for a read, and reported as unknown for a hold', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { truncate: 1 })));
     const cut = await send('a1', '/beta/holds', 'cut-hold', { method: 'POST' });
     t.deepEqual([cut.kind, cut.outcome], ['answer_truncated', 'unknown']);
@@ -84,7 +84,7 @@
     t.is((await send('a1', '/beta/x', 'cut-read')).status, 200);
   });
 
-  itSerial('should let a late whole answer win when the competing attempt fails', async (t) => {
+  itSerial('should have its late complete response used when the competing attempt fails', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { workMs: 400 })));
     const pending = send('a1', '/beta/competing/x', 'late');
     await until('both attempts run', async () => (await fleet.totalRuns('late')) === 2);
@@ -93,7 +93,7 @@
     t.is((await pending).status, 200);
   });
 
-  itSerial('should hear that the caller hung up', async (t) => {
+  itSerial('should be notified when the caller disconnects', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { workMs: 500 })));
     const aborter = new AbortController();
     const pending = send('a1', '/beta/x', 'hung-up', { signal: aborter.signal });
@@ -104,13 +104,15 @@
       const res = await fetch(`${fleet.host(id).targetUrl}/-/counts`);
       return ((await res.json()) as { cancelled: number }).cancelled;
     };
-    await until('a target is told', async () => (await cancelled('b1')) + (await cancelled('b2')) === 1);
+    await until('a target is notified', async () => (await cancelled('b1')) + (await cancelled('b2')) === 1);
     t.pass();
   });
 
-  itSerial('should take no new work once it says so, and be back when it says so', async (t) => {
+  itSerial('should receive no requests while it is not accepting, and be serving again afterwards', async (t) => {
     await fleet.setBehaviour('b1', { accepting: false });
-    await until('a1 knows', async () => (await fleet.status('a1')).members.some((m) => m.id === 'b1' && m.targetState === 'leaving'));
+    await until('a1 knows that b1 is draining', async () =>
+      (await fleet.status('a1')).members.some((m) => m.id === 'b1' && m.targetState === 'leaving'),
+    );
     for (let i = 0; i < 20; i++) {
       t.is((await send('a1', '/beta/x', 'leaving')).status, 200);
     }
@@ -121,14 +123,14 @@
 });
 
 describe("the platform's log", () => {
-  itSerial('should cost nothing but a read when it loses the reply to a claim', async (t) => {
+  itSerial('should cause neither an error nor a second run when the reply to a claim is lost', async (t) => {
     await fleet.setLogFaults({ loseReplies: 1 });
     t.is((await send('b1', '/beta/holds', 'lost-claim', hold('lost-claim'))).status, 200);
     t.is((await send('b2', '/beta/holds', 'lost-claim', hold('lost-claim'))).status, 200);
     t.is(await fleet.totalRuns('lost-claim'), 1);
   });
 
-  itSerial('should be survived while it is silent: holds are refused as not run, reads go on', async (t) => {
+  itSerial('should not affect reads while it does not respond; holds are rejected as not_run', async (t) => {
     await fleet.setLogFaults({ silent: true });
     const [refused, read] = await Promise.all([send('a1', '/beta/holds', 'silent', hold('silent')), send('a1', '/beta/x', 'silent-read')]);
     t.deepEqual([refused.kind, refused.outcome], ['log_unavailable', 'not_run']);
@@ -138,7 +140,7 @@
     t.true((await fleet.totalRuns('silent')) <= 1);
   });
 
-  itSerial('should settle a patch whose reply was lost, once', async (t) => {
+  itSerial('should have a patch applied exactly once when the reply to its append is lost', async (t) => {
     const { version } = await fleet.status('a1');
     await fleet.setLogFaults({ loseReplies: 1 });
     const applied = await fleet.runCli(['apply', 'FILE', '--base', String(version), '--wait'], { retryRatio: 0.11 });
@@ -146,7 +148,7 @@
     t.is((await fleet.status('b2')).version, version + 1);
   });
 
-  itSerial('should let a patch wait, not vanish, while it is down', async (t) => {
+  itSerial('should have a patch rejected while it is down, and not applied later', async (t) => {
     const { version } = await fleet.status('a1');
     await fleet.setLogFaults({ down: true });
     const refused = await fleet.runCli(['apply', 'FILE', '--base', String(version)], { retryRatio: 0.12 });
@@ -157,7 +159,7 @@
 });
 
 describe('a daemon', () => {
-  itSerial('should never let a hold run twice when it is paused past every deadline', async (t) => {
+  itSerial('should not run a hold twice after being paused past every deadline', async (t) => {
     const paused = fleet.host('b1').daemon;
     const pending = send('b1', '/beta/holds', 'paused', { ...hold('paused'), signal: AbortSignal.timeout(15_000) }).catch(() => undefined);
     paused.kill('SIGSTOP');
@@ -171,7 +173,7 @@
     t.true((await fleet.totalRuns('paused')) <= 1);
   });
 
-  itSerial('should, killed, cost a read a retry and a hold no more than an unknown outcome', async (t) => {
+  itSerial('should cause at most a retry of a read and an unknown outcome of a hold when it is killed', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { workMs: 300 })));
     const reads = Array.from({ length: 6 }, (_, i) => send('a1', '/beta/x', `killed-read-${i}`));
     const holds = Array.from({ length: 6 }, (_, i) => send('a1', '/beta/holds', `killed-hold-${i}`, { method: 'POST' }));
--- a/tests/e2e/path.spec.ts
+++ b/tests/e2e/path.spec.ts
@@ -3,6 +3,8 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
+/** Requests, rejections and keyed holds through a fleet of real processes. */
+
 import test from 'ava';
 import { describe, itSerial } from '../support/describe.js';
 import { Fleet } from '../support/fleet.js';
@@ -33,7 +35,7 @@
 }
 
 describe('a request', () => {
-  itSerial('should get the whole answer through two daemons and an onward call', async (t) => {
+  itSerial('should receive the complete response through two daemons and an onward call', async (t) => {
     const res = await send('b2', '/alpha/hello', { headers: { 'x-call': 'one' } });
     t.is(res.status, 200);
     t.is(await res.text(), 'alpha GET /hello');
@@ -41,7 +43,7 @@
     t.is(await fleet.totalRuns('one'), 2);
   });
 
-  itSerial('should pass bodies of any size and get each back whole', async (t) => {
+  itSerial('should transfer bodies of any size in full', async (t) => {
     const sizes = [0, 1, 1_000, 100_000, 1_048_576];
     const lengths = await Promise.all(
       sizes.map(async (size) => {
@@ -61,10 +63,10 @@
   });
 });
 
-describe('a refused request', () => {
+describe('a rejected request', () => {
   const cases = [
     { title: 'an unknown service', path: '/gamma/x', init: {}, kind: 'unknown_service' },
-    { title: 'a request that no class takes', path: '/beta/x', init: { method: 'DELETE' }, kind: 'unknown_class' },
+    { title: 'a request that matches no class', path: '/beta/x', init: { method: 'DELETE' }, kind: 'unknown_class' },
     {
       title: 'a forged chain token',
       path: '/beta/x',
@@ -82,7 +84,7 @@
     { title: 'a body over the limit', path: '/beta/x', init: { method: 'POST', body: 'x'.repeat(5_000_000) }, kind: 'body_too_large' },
   ];
   for (const { title, path, init, kind } of cases) {
-    itSerial(`should name ${title} and say that nothing ran`, async (t) => {
+    itSerial(`should report ${title} with the outcome not_run`, async (t) => {
       const res = await send('a1', path, {
         ...init,
         headers: { 'x-call': kind, ...((init as RequestInit).headers as Record<string, string> | undefined) },
@@ -97,7 +99,7 @@
 });
 
 describe('a keyed hold', () => {
-  itSerial('should run once and answer its repeats alike at every daemon', async (t) => {
+  itSerial('should run once and return the same response to its repeats at every daemon', async (t) => {
     const hold = { method: 'POST', body: '{"bed":1}', headers: { 'idempotency-key': 'hold-1', 'x-call': 'hold-1' } };
     for (const host of ['a1', 'b1', 'b2', 'a1']) {
       const res = await send(host, '/beta/holds', hold);
@@ -107,7 +109,7 @@
     t.is(await fleet.totalRuns('hold-1'), 1);
   });
 
-  itSerial('should be refused when the key comes with another body', async (t) => {
+  itSerial('should be rejected when its key is reused with another body', async (t) => {
     const hold = (bed: number): RequestInit => ({
       method: 'POST',
       body: `{"bed":${bed}}`,
@@ -118,7 +120,7 @@
     t.is(await fleet.totalRuns('hold-2'), 1);
   });
 
-  itSerial('should run once under a minted key, settled without the log', async (t) => {
+  itSerial('should run once with a minted key that is settled without the log', async (t) => {
     const { namespace } = (await (await send('a1', '/-/namespaces', { method: 'POST' })).json()) as { namespace: string };
     await fleet.setLogFaults({ down: true });
     const hold = { method: 'POST', body: '{"bed":3}', headers: { 'idempotency-key': `${namespace}/1`, 'x-call': 'hold-3' } };
@@ -129,7 +131,7 @@
     t.is(await fleet.totalRuns('hold-3'), 1);
   });
 
-  itSerial('should be refused at once as not run while the log is down, and run after', async (t) => {
+  itSerial('should be rejected as not_run while the log is down, and run afterwards', async (t) => {
     await fleet.setLogFaults({ down: true });
     const hold = { method: 'POST', body: '{"bed":4}', headers: { 'idempotency-key': 'hold-4', 'x-call': 'hold-4' } };
     const refused = await send('a1', '/beta/holds', hold);
