--- a/packages/daemon/src/client/logClient.ts
+++ b/packages/daemon/src/client/logClient.ts
@@ -30,7 +30,7 @@
     private readonly _pools: Pools,
   ) {}
 
-  /** Appends one record. Returns `lost` if there is no valid response: the append may have taken effect. */
+  /** Appends one record. Returns `refused` if the log appended nothing, `lost` if the append may have taken effect. */
   async append(stream: string, value: unknown): Promise<AppendResult> {
     const body = Buffer.from(JSON.stringify({ value }));
     const result = await this._send('POST', `/streams/${stream}/records`, body, kAppendTimeoutMs);
--- a/packages/daemon/src/server/callRoutes.ts
+++ b/packages/daemon/src/server/callRoutes.ts
@@ -47,7 +47,7 @@
   });
 }
 
-/** Maps the status of an error raised by the HTTP server to an error kind; any status but 4xx is an internal error. */
+/** Maps the status of an error raised by the HTTP server to an error kind; a missing status or 5xx is an internal error. */
 function errorKindOf(status: number | undefined): 'body_too_large' | 'bad_request' | 'internal_error' {
   if (status === kPayloadTooLarge) {
     return 'body_too_large';
