--- a/packages/daemon/src/client/httpExchange.ts
+++ b/packages/daemon/src/client/httpExchange.ts
@@ -4,22 +4,21 @@
  */
 
 /**
- * One HTTP request with its whole answer, over undici's dispatcher.
+ * One HTTP request and its complete response, over undici's dispatcher.
  *
- * Tells apart what the caller of a non-idempotent request must know: whether a byte may have been written, and whether
- * the answer that came was whole.
+ * The result states what a caller needs to know before it retries a non-idempotent request: whether any byte of the request
+ * may have been written, and whether the response was complete.
  */
 
 import type { Dispatcher } from 'undici';
 
-/** How an exchange ended. */
-export type ExchangeEnd =
+/** Result of an exchange. `written` is true if any byte of the request may have been sent. */
+export type ExchangeResult =
   | { kind: 'answered'; status: number; headers: Record<string, string | string[]>; body: Buffer }
   | { kind: 'truncated' }
   | { kind: 'too_large' }
   | { kind: 'lost'; written: boolean; cause: string };
 
-/** What is sent. */
 export interface ExchangeRequest {
   method: string;
   path: string;
@@ -27,29 +26,29 @@
   body: Uint8Array;
 }
 
-const kNoBytes = Buffer.alloc(0);
+const kEmptyBody = Buffer.alloc(0);
 
-/** A running exchange. */
+/** An exchange in progress. */
 export class HttpExchange implements Dispatcher.DispatchHandler {
   private _written = false;
-  private _ended = false;
+  private _settled = false;
   private _controller: Dispatcher.DispatchController | undefined;
   private _status = 0;
   private _headers: Record<string, string | string[]> | undefined;
   private readonly _chunks: Buffer[] = [];
-  private _size = 0;
+  private _receivedBytes = 0;
 
   /**
-   * Starts an exchange.
+   * Sends the request.
    *
-   * @param _maxBytes longest answer that is taken
-   * @param _done called once with the end
+   * @param _maxBytes maximum size of the response body
+   * @param _onResult called exactly once
    */
   constructor(
     dispatcher: Dispatcher,
     req: ExchangeRequest,
     private readonly _maxBytes: number,
-    private readonly _done: (end: ExchangeEnd) => void,
+    private readonly _onResult: (result: ExchangeResult) => void,
   ) {
     dispatcher.dispatch(
       {
@@ -64,17 +63,17 @@
     );
   }
 
-  /** Gives the exchange up and closes its connection. */
+  /** Aborts the exchange and closes its connection. */
   abort(): void {
-    const lost: ExchangeEnd = { kind: 'lost', written: this._written, cause: 'given up' };
-    this._end(lost);
-    this._controller?.abort(new Error('given up'));
+    const result: ExchangeResult = { kind: 'lost', written: this._written, cause: 'aborted' };
+    this._settle(result);
+    this._controller?.abort(new Error('aborted'));
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this._controller = controller;
-    if (this._ended) {
-      controller.abort(new Error('given up'));
+    if (this._settled) {
+      controller.abort(new Error('aborted'));
       return;
     }
     this._written = true;
@@ -90,10 +89,10 @@
   }
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    this._size += chunk.byteLength;
-    if (this._size > this._maxBytes) {
-      this._end({ kind: 'too_large' });
-      controller.abort(new Error('answer over the limit'));
+    this._receivedBytes += chunk.byteLength;
+    if (this._receivedBytes > this._maxBytes) {
+      this._settle({ kind: 'too_large' });
+      controller.abort(new Error('response body exceeds the limit'));
       return;
     }
     this._chunks.push(chunk);
@@ -101,32 +100,32 @@
 
   onResponseEnd(): void {
     const [first] = this._chunks;
-    const body = this._chunks.length === 1 && first ? first : this._chunks.length === 0 ? kNoBytes : Buffer.concat(this._chunks);
-    this._end({ kind: 'answered', status: this._status, headers: this._headers ?? {}, body });
+    const body = this._chunks.length === 1 && first ? first : this._chunks.length === 0 ? kEmptyBody : Buffer.concat(this._chunks);
+    this._settle({ kind: 'answered', status: this._status, headers: this._headers ?? {}, body });
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, err: Error): void {
-    this._end(this._headers ? { kind: 'truncated' } : { kind: 'lost', written: this._written, cause: err.message });
+    this._settle(this._headers ? { kind: 'truncated' } : { kind: 'lost', written: this._written, cause: err.message });
   }
 
-  private _end(end: ExchangeEnd): void {
-    if (this._ended) {
+  private _settle(result: ExchangeResult): void {
+    if (this._settled) {
       return;
     }
-    this._ended = true;
-    this._done(end);
+    this._settled = true;
+    this._onResult(result);
   }
 }
 
-/** Runs an exchange to its end. */
-export function exchange(dispatcher: Dispatcher, req: ExchangeRequest, maxBytes: number, timeoutMs: number): Promise<ExchangeEnd> {
+/** Sends a request and returns its result; aborts the exchange after `timeoutMs`. */
+export function exchange(dispatcher: Dispatcher, req: ExchangeRequest, maxBytes: number, timeoutMs: number): Promise<ExchangeResult> {
   return new Promise((resolve) => {
-    const running = new HttpExchange(dispatcher, req, maxBytes, (end) => {
+    const httpExchange = new HttpExchange(dispatcher, req, maxBytes, (result) => {
       clearTimeout(timer);
-      resolve(end);
+      resolve(result);
     });
     const timer = setTimeout(() => {
-      running.abort();
+      httpExchange.abort();
     }, timeoutMs);
   });
 }
--- a/packages/daemon/src/client/targetProbe.ts
+++ b/packages/daemon/src/client/targetProbe.ts
@@ -3,33 +3,32 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Tells whether a target on this host still takes connections. */
+/** Checks whether the local target accepts TCP connections. */
 
 import { connect } from 'node:net';
 
-/** Longest wait for the connection, in milliseconds. */
-const kProbeMs = 1_000;
+const kProbeTimeoutMs = 1_000;
 
-/** How a connection to a target came out. */
-export type ProbeEnd = 'connected' | 'refused' | 'unknown';
+/** Result of a connection attempt; `unknown` after a timeout or any error but a refusal. */
+export type ProbeResult = 'connected' | 'refused' | 'unknown';
 
-/** Tries one connection to a base address such as `http://10.1.2.3:80`. */
-export function probeTarget(url: string): Promise<ProbeEnd> {
+/** Opens and closes one connection to an origin such as `http://10.1.2.3:80`. */
+export function probeTarget(url: string): Promise<ProbeResult> {
   const { hostname, port } = new URL(url);
   return new Promise((resolve) => {
-    const socket = connect({ host: hostname, port: Number(port), timeout: kProbeMs });
-    const end = (how: ProbeEnd): void => {
+    const socket = connect({ host: hostname, port: Number(port), timeout: kProbeTimeoutMs });
+    const settle = (result: ProbeResult): void => {
       socket.destroy();
-      resolve(how);
+      resolve(result);
     };
     socket.on('connect', () => {
-      end('connected');
+      settle('connected');
     });
     socket.on('timeout', () => {
-      end('unknown');
+      settle('unknown');
     });
     socket.on('error', (err: NodeJS.ErrnoException) => {
-      end(err.code === 'ECONNREFUSED' ? 'refused' : 'unknown');
+      settle(err.code === 'ECONNREFUSED' ? 'refused' : 'unknown');
     });
   });
 }
--- a/packages/daemon/src/server/problem.ts
+++ b/packages/daemon/src/server/problem.ts
@@ -3,16 +3,16 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Answers to callers: whole answers of targets, and errors as problem+json (RFC 9457) from the one table. */
+/** Responses to callers: responses of targets, and errors as problem+json (RFC 9457). */
 
 import { errorResponse, type TargetResponse, type ErrorKind, type ServeResult } from '@gentiandrum/core';
 import { kOutcomeHeader, kProblemMediaType, kRequestIdHeader } from '@gentiandrum/protocol';
 import type { FastifyReply } from 'fastify';
 
-/** Callers that are told to come back do so spread over this time, in seconds. */
-const kRetrySpreadSeconds = 4;
-/** Headers that belong to one connection, and those that the server sets itself. */
-const kDropped: ReadonlySet<string> = new Set([
+/** Range over which `Retry-After` values are spread, so that callers do not all retry at once, in seconds. */
+const kRetryAfterSpreadSeconds = 4;
+/** Response headers that are not forwarded: hop-by-hop headers, and those that the server sets itself. */
+const kExcludedHeaders: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'transfer-encoding',
@@ -22,7 +22,7 @@
   'te',
 ]);
 
-/** Body of an error answer. */
+/** Body of an error response. */
 export interface Problem {
   type: string;
   title: string;
@@ -33,31 +33,31 @@
   kind: ErrorKind;
   outcome: string;
   repeatable: boolean;
-  /** `try` where `not_run` speaks of this try alone, and an earlier one under the same key may have run. */
+  /** `try` if `not_run` applies to this try only and an earlier one with the same key may have run. */
   scope: 'request' | 'try';
 }
 
-/** Sends the end of a call to its caller. */
-export function sendServed(reply: FastifyReply, id: string, served: ServeResult): void {
+/** Sends the result of a call to its caller. */
+export function sendResult(reply: FastifyReply, id: string, result: ServeResult): void {
   void reply.header(kRequestIdHeader, id);
-  if (served.kind === 'answer') {
-    sendAnswer(reply, served.answer);
+  if (result.kind === 'answer') {
+    sendResponse(reply, result.answer);
     return;
   }
-  sendProblem(reply, id, served);
+  sendProblem(reply, id, result);
 }
 
-function sendAnswer(reply: FastifyReply, answer: TargetResponse): void {
-  for (const [name, value] of Object.entries(answer.headers)) {
-    if (!kDropped.has(name)) {
+function sendResponse(reply: FastifyReply, response: TargetResponse): void {
+  for (const [name, value] of Object.entries(response.headers)) {
+    if (!kExcludedHeaders.has(name)) {
       void reply.header(name, value);
     }
   }
-  void reply.header(kOutcomeHeader, 'ran').code(answer.status).send(answer.body);
+  void reply.header(kOutcomeHeader, 'ran').code(response.status).send(response.body);
 }
 
-function sendProblem(reply: FastifyReply, id: string, served: Extract<ServeResult, { kind: 'error' }>): void {
-  const { error, outcome, detail, thisTryOnly } = served;
+function sendProblem(reply: FastifyReply, id: string, result: Extract<ServeResult, { kind: 'error' }>): void {
+  const { error, outcome, detail, thisTryOnly } = result;
   const { status, title, repeat, retryAfter } = errorResponse(error);
   const problem: Problem = {
     type: `urn:gentiandrum:error:${error}`,
@@ -71,7 +71,7 @@
     scope: thisTryOnly === true ? 'try' : 'request',
   };
   if (retryAfter) {
-    void reply.header('retry-after', 1 + Math.floor(Math.random() * kRetrySpreadSeconds));
+    void reply.header('retry-after', 1 + Math.floor(Math.random() * kRetryAfterSpreadSeconds));
   }
   void reply
     .header(kOutcomeHeader, outcome)
--- a/packages/daemon/src/server/problemFilter.ts
+++ b/packages/daemon/src/server/problemFilter.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Errors of control requests as problem+json. */
+/** Formats errors of control requests as problem+json. */
 
 import { type ArgumentsHost, Catch, type ExceptionFilter, HttpException } from '@nestjs/common';
 import { errorResponse } from '@gentiandrum/core';
@@ -12,7 +12,6 @@
 
 const kServerError = 500;
 
-/** Answers every error of a control request. */
 @Catch()
 export class ProblemFilter implements ExceptionFilter {
   catch(err: unknown, host: ArgumentsHost): void {
@@ -21,14 +20,14 @@
     void reply
       .header('content-type', kProblemMediaType)
       .code(status)
-      .send(Buffer.from(JSON.stringify(bodyOf(err, status))));
+      .send(Buffer.from(JSON.stringify(problemBody(err, status))));
   }
 }
 
-function bodyOf(err: unknown, status: number): unknown {
-  const told = err instanceof HttpException ? err.getResponse() : undefined;
-  if (typeof told === 'object' && 'kind' in told) {
-    return told;
+function problemBody(err: unknown, status: number): unknown {
+  const response = err instanceof HttpException ? err.getResponse() : undefined;
+  if (typeof response === 'object' && 'kind' in response) {
+    return response;
   }
   const kind = status < kServerError ? 'bad_request' : 'internal_error';
   const { title } = errorResponse(kind);
--- a/tests/mesh/answers.spec.ts
+++ b/tests/mesh/answers.spec.ts
@@ -5,7 +5,7 @@
 
 /** Callers receive complete responses to their own requests, "not run" only if that is true, and no unsafe retries. */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import type { ResponseMode } from '../platform/upstreamStandin.js';
 import { withFleet } from './meshFleet.js';
 
@@ -23,7 +23,7 @@
     { mode: 'shedding', status: 503 },
   ];
   for (const { mode, status } of badResponses) {
-    itAlone(`should respond ${status} to a non-idempotent request when the response is ${mode}, and run it once`, (t) =>
+    itSerial(`should respond ${status} to a non-idempotent request when the response is ${mode}, and run it once`, (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/once/', service: 'holds', idempotent: false, maxAttempts: 3 }]);
         const host = await fleet.add('h1', 'holds');
@@ -39,7 +39,7 @@
     );
   }
 
-  itAlone('should not deliver a surplus response to another caller', (t) =>
+  itSerial('should not deliver a surplus response to another caller', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -54,7 +54,7 @@
     }),
   );
 
-  itAlone('should retry an idempotent request on another target when the response is lost', (t) =>
+  itSerial('should retry an idempotent request on another target when the response is lost', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', maxAttempts: 2 }]);
       const first = await fleet.add('h1', 'reads');
@@ -71,7 +71,7 @@
 });
 
 describe('forwarded requests', () => {
-  itAlone('should reach a target on another host unchanged, with caller, instance and remaining time', (t) =>
+  itSerial('should reach a target on another host unchanged, with caller, instance and remaining time', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/once/', service: 'holds', idempotent: false }]);
       const near = await fleet.add('h1', 'reads');
@@ -89,7 +89,7 @@
     }),
   );
 
-  itAlone('should get 404 without a route, 503 without a configuration and 413 for a body over the limit', (t) =>
+  itSerial('should get 404 without a route, 503 without a configuration and 413 for a body over the limit', (t) =>
     withFleet(async (fleet) => {
       const host = await fleet.add('h1', 'reads');
       t.is((await fleet.call(host, '/a/x')).status, 503);
@@ -102,7 +102,7 @@
     }),
   );
 
-  itAlone('should get 504 at the timeout of the route, and be aborted on the target', (t) =>
+  itSerial('should get 504 at the timeout of the route, and be aborted on the target', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 300 }]);
       const near = await fleet.add('h1', 'other');
@@ -114,7 +114,7 @@
     }),
   );
 
-  itAlone('should be sent to a new service after a configuration change, and follow its traffic split', (t) =>
+  itSerial('should be sent to a new service after a configuration change, and follow its traffic split', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'old' }]);
       const old = await fleet.add('h1', 'old');
--- a/tests/mesh/callers.spec.ts
+++ b/tests/mesh/callers.spec.ts
@@ -6,7 +6,7 @@
 /** Requests of callers: pipelining, chunked, long and late bodies, early disconnects, and malformed input. */
 
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 import { RawCaller, requestText } from './rawCaller.js';
 
@@ -24,7 +24,7 @@
 }
 
 describe('callers', () => {
-  itAlone('should receive the responses to pipelined requests in request order', (t) =>
+  itSerial('should receive the responses to pipelined requests in request order', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -39,7 +39,7 @@
     }),
   );
 
-  itAlone('should have chunked bodies forwarded completely, and their connection kept open', (t) =>
+  itSerial('should have chunked bodies forwarded completely, and their connection kept open', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -54,7 +54,7 @@
     }),
   );
 
-  itAlone('should have long bodies forwarded completely, also when the target responds before it has read them', (t) =>
+  itSerial('should have long bodies forwarded completely, also when the target responds before it has read them', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const body = 'x'.repeat(700_000);
@@ -71,7 +71,7 @@
     }),
   );
 
-  itAlone('should receive the complete response when they read slowly', (t) =>
+  itSerial('should receive the complete response when they read slowly', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       host.target.padding = 900_000;
@@ -88,7 +88,7 @@
     }),
   );
 
-  itAlone('should get 408 when the body does not arrive, and 431 for a head over the limit', (t) =>
+  itSerial('should get 408 when the body does not arrive, and 431 for a head over the limit', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet, { max_header_bytes: 2_000 });
       const late = await RawCaller.open(host.calls);
@@ -102,7 +102,7 @@
     }),
   );
 
-  itAlone('should not be able to smuggle a request inside another one, or behind it', (t) =>
+  itSerial('should not be able to smuggle a request inside another one, or behind it', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const before = host.target.seen.length;
@@ -119,7 +119,7 @@
     }),
   );
 
-  itAlone('should have an idempotent request aborted on the target when they disconnect, and no other', (t) =>
+  itSerial('should have an idempotent request aborted on the target when they disconnect, and no other', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       host.target.workMs = 400;
@@ -137,7 +137,7 @@
     }),
   );
 
-  itAlone('should receive all responses to pipelined requests when the last one requests to close the connection', (t) =>
+  itSerial('should receive all responses to pipelined requests when the last one requests to close the connection', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -148,7 +148,7 @@
     }),
   );
 
-  itAlone('should receive 100 Continue before a body, and no body in the response to HEAD', (t) =>
+  itSerial('should receive 100 Continue before a body, and no body in the response to HEAD', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       const caller = await RawCaller.open(host.calls);
@@ -164,7 +164,7 @@
     }),
   );
 
-  itAlone('should have an idle connection closed after the timeout, and get 408 for a stalled head', (t) =>
+  itSerial('should have an idle connection closed after the timeout, and get 408 for a stalled head', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet, { idle_timeout_ms: 300, header_timeout_ms: 300 });
       const idle = await RawCaller.open(host.calls);
@@ -177,7 +177,7 @@
     }),
   );
 
-  itAlone('should be limited in pipelined requests and unread responses, and receive all responses', (t) =>
+  itSerial('should be limited in pipelined requests and unread responses, and receive all responses', (t) =>
     withFleet(async (fleet) => {
       // Long timeouts and a slot for every request in flight, so that all are served even on a slow machine.
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 60_000 }]);
@@ -204,7 +204,7 @@
     }),
   );
 
-  itAlone('should have the time for reading the body counted against the deadline', (t) =>
+  itSerial('should have the time for reading the body counted against the deadline', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/once/', service: 'reads', idempotent: false, timeoutMs: 60_000 }]);
       const host = await fleet.add('h1', 'reads');
--- a/tests/mesh/crashEvidence.spec.ts
+++ b/tests/mesh/crashEvidence.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 
@@ -26,7 +26,7 @@
 }
 
 describe('a crash of a target', () => {
-  itAlone('should be detected when all connections are reset and the next one is refused', async (t) => {
+  itSerial('should be detected when all connections are reset and the next one is refused', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       host.target.close();
@@ -35,7 +35,7 @@
     });
   });
 
-  itAlone('should be counted once, however many calls were in flight', async (t) => {
+  itSerial('should be counted once, however many calls were in flight', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       const others = Array.from({ length: 8 }, () => fleet.call(host, '/s/3'));
@@ -46,7 +46,7 @@
     });
   });
 
-  itAlone('should be detected after the caller has timed out', async (t) => {
+  itSerial('should be detected after the caller has timed out', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const host = await fleet.add('a', 's');
@@ -59,7 +59,7 @@
     });
   });
 
-  itAlone('should not be detected when a connection closes without a response', async (t) => {
+  itSerial('should not be detected when a connection closes without a response', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       host.target.mode = 'dropped';
@@ -70,7 +70,7 @@
     });
   });
 
-  itAlone('should not be detected when a target responds too late', async (t) => {
+  itSerial('should not be detected when a target responds too late', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       await call;
@@ -80,7 +80,7 @@
     });
   });
 
-  itAlone('should not be detected when a draining target stops', async (t) => {
+  itSerial('should not be detected when a draining target stops', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       t.is(await host.target.sendHeartbeat(host.control, 'draining'), 200);
@@ -90,7 +90,7 @@
     });
   });
 
-  itAlone('should not be detected when another target replaces it', async (t) => {
+  itSerial('should not be detected when another target replaces it', async (t) => {
     await withFleet(async (fleet) => {
       const { host, call } = await startCall(fleet);
       const next = new UpstreamStandin('i-next', 's');
--- a/tests/mesh/deadTarget.spec.ts
+++ b/tests/mesh/deadTarget.spec.ts
@@ -5,12 +5,12 @@
 
 import { once } from 'node:events';
 import { createServer } from 'node:net';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
 import { withFleet } from './meshFleet.js';
 
 describe('a target that crashes while its daemon keeps running', () => {
-  itAlone('should become unreachable in its record, fail no requests, and be used again after its restart', async (t) => {
+  itSerial('should become unreachable in its record, fail no requests, and be used again after its restart', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const a = await fleet.add('a', 's');
@@ -46,7 +46,7 @@
 
 /** Guards against a target that never receives calls again because its outdated slow times are not renewed. */
 describe('a target whose first responses were slow', () => {
-  itAlone('should be used again once it is fast', async (t) => {
+  itSerial('should be used again once it is fast', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const a = await fleet.add('a', 's');
@@ -70,7 +70,7 @@
 
 /** Guards against penalties from earlier crashes that persist after the target is ready again. */
 describe('a target that crashed several times', () => {
-  itAlone('should be used by its local daemon as soon as it is ready in its record', async (t) => {
+  itSerial('should be used by its local daemon as soon as it is ready in its record', async (t) => {
     await withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       await fleet.add('a', 's');
@@ -100,7 +100,7 @@
 
 /** Guards against a daemon that fails to start and keeps listening on some of its ports. */
 describe('a daemon that cannot listen on a port', () => {
-  itAlone('should fail to start and release all its ports', async (t) => {
+  itSerial('should fail to start and release all its ports', async (t) => {
     await withFleet(async (fleet) => {
       const prepared = await fleet.prepare('a', 's');
       const { calls, ready, control } = prepared.host;
@@ -123,7 +123,7 @@
 });
 
 describe('a daemon that starts without a configuration', () => {
-  itAlone('should apply the limits of a configuration that arrives after its target is ready', async (t) => {
+  itSerial('should apply the limits of a configuration that arrives after its target is ready', async (t) => {
     await withFleet(async (fleet) => {
       const a = await fleet.add('a', 's');
       await fleet.until('the target to be ready', () => a.daemon.record.state === 'ready');
--- a/tests/mesh/fewReaders.spec.ts
+++ b/tests/mesh/fewReaders.spec.ts
@@ -5,7 +5,7 @@
 
 /** Tests that two readers per zone keep all its daemons up to date, also when readers are killed or the store is unavailable. */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 
 const kTopic = 'keyed.gentiandrum-hosts';
@@ -44,7 +44,7 @@
 }
 
 describe('the daemons of a zone', () => {
-  itAlone('should have two readers, whose version comes into force at all daemons', (t) =>
+  itSerial('should have two readers, whose version comes into force at all daemons', (t) =>
     withZone(async (fleet) => {
       fleet.configure([{ prefix: '/b/', service: 'reads' }]);
       await untilServed(fleet, '/b/x');
@@ -52,7 +52,7 @@
     }),
   );
 
-  itAlone('should receive a new version right after both readers are killed', (t) =>
+  itSerial('should receive a new version right after both readers are killed', (t) =>
     withZone(async (fleet) => {
       for (const reader of await readers(fleet)) {
         fleet.kill(reader);
@@ -64,7 +64,7 @@
     }),
   );
 
-  itAlone('should write the record of each host to the log, and restore a removed one', (t) =>
+  itSerial('should write the record of each host to the log, and restore a removed one', (t) =>
     withZone(async (fleet) => {
       const inLog = (): number => fleet.store.newest(kTopic).size;
       await fleet.until('all records to be in the log', () => inLog() === kHosts);
@@ -75,7 +75,7 @@
     }),
   );
 
-  itAlone('should send all hosts and the version to a daemon that joins while the store is unavailable', (t) =>
+  itSerial('should send all hosts and the version to a daemon that joins while the store is unavailable', (t) =>
     withZone(async (fleet) => {
       const late = await fleet.prepare('late', 'other');
       fleet.store.put(
--- a/tests/mesh/leaving.spec.ts
+++ b/tests/mesh/leaving.spec.ts
@@ -5,14 +5,14 @@
 
 /** Tests draining targets, restarted daemons, and an unavailable store. */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { UpstreamStandin } from '../platform/upstreamStandin.js';
 import { withFleet } from './meshFleet.js';
 
 const kTopic = 'keyed.gentiandrum-hosts';
 
 describe('a draining target', () => {
-  itAlone('should receive no new calls from any daemon after its announcement is acknowledged', (t) =>
+  itSerial('should receive no new calls from any daemon after its announcement is acknowledged', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const stays = await fleet.add('h1', 'reads');
@@ -28,7 +28,7 @@
     }),
   );
 
-  itAlone('should stay draining when an older heartbeat arrives late', (t) =>
+  itSerial('should stay draining when an older heartbeat arrives late', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -39,7 +39,7 @@
     }),
   );
 
-  itAlone('should stay gone for a restarted daemon that reads the state from the store', (t) =>
+  itSerial('should stay gone for a restarted daemon that reads the state from the store', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -56,7 +56,7 @@
     }),
   );
 
-  itAlone('should stay draining for a restarted daemon that learns it from others while the store is unavailable', (t) =>
+  itSerial('should stay draining for a restarted daemon that learns it from others while the store is unavailable', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -76,7 +76,7 @@
 });
 
 describe('announcements of a target that arrive out of order', () => {
-  itAlone('should keep a target gone for a daemon whose first announcement of it says so', (t) =>
+  itSerial('should keep a target gone for a daemon whose first announcement of it says so', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads', { beat: false });
@@ -88,7 +88,7 @@
     }),
   );
 
-  itAlone('should not bring back a replaced instance', (t) =>
+  itSerial('should not bring back a replaced instance', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -109,7 +109,7 @@
 });
 
 describe('a restarted daemon', () => {
-  itAlone('should use its target before the next heartbeat after a graceful shutdown', (t) =>
+  itSerial('should use its target before the next heartbeat after a graceful shutdown', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -123,7 +123,7 @@
     }),
   );
 
-  itAlone('should wait for its target after a kill, because the last acknowledged state may be lost', (t) =>
+  itSerial('should wait for its target after a kill, because the last acknowledged state may be lost', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -140,7 +140,7 @@
     }),
   );
 
-  itAlone('should receive "not run" from a target that has been replaced by another instance', (t) =>
+  itSerial('should receive "not run" from a target that has been replaced by another instance', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', idempotent: false }]);
       const host = await fleet.add('h1', 'reads');
@@ -165,7 +165,7 @@
 });
 
 describe('a graceful shutdown', () => {
-  itAlone('should keep using the target while callers switch to other daemons', (t) =>
+  itSerial('should keep using the target while callers switch to other daemons', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const stops = await fleet.add('h1', 'reads');
@@ -182,7 +182,7 @@
 
 describe('an unavailable store', () => {
   for (const mode of ['busy', 'limited', 'silent', 'reset', 'lost', 'full'] as const) {
-    itAlone(`should not prevent the use of a target that becomes ready meanwhile (${mode})`, (t) =>
+    itSerial(`should not prevent the use of a target that becomes ready meanwhile (${mode})`, (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/a/', service: 'reads' }]);
         const near = await fleet.add('h1', 'other');
@@ -200,7 +200,7 @@
     );
   }
 
-  itAlone('should not keep a new version from a daemon that cannot reach it', (t) =>
+  itSerial('should not keep a new version from a daemon that cannot reach it', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -218,7 +218,7 @@
     }),
   );
 
-  itAlone('should not make a daemon miss a version that was written before a compaction', (t) =>
+  itSerial('should not make a daemon miss a version that was written before a compaction', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -230,7 +230,7 @@
     }),
   );
 
-  itAlone('should not bring an older version back into force', (t) =>
+  itSerial('should not bring an older version back into force', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const old = fleet.store.newest('keyed.op').get('config') ?? '';
@@ -247,7 +247,7 @@
 });
 
 describe('the record of a host in the log', () => {
-  itAlone('should be rewritten after a late write of an older one, and after its removal', (t) =>
+  itSerial('should be rewritten after a late write of an older one, and after its removal', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads');
@@ -267,7 +267,7 @@
     }),
   );
 
-  itAlone('should be awaited by a restarted daemon, though a peer without it responds first', (t) =>
+  itSerial('should be awaited by a restarted daemon, though a peer without it responds first', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const target = new UpstreamStandin('i-h1', 'reads');
@@ -284,7 +284,7 @@
 });
 
 describe('a graceful shutdown', () => {
-  itAlone('should complete running calls, be unready at once, and close caller connections', (t) =>
+  itSerial('should complete running calls, be unready at once, and close caller connections', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 4_000 }]);
       const stops = await fleet.add('h1', 'reads');
@@ -307,7 +307,7 @@
     }),
   );
 
-  itAlone('should serve a request that arrives late in the shutdown and takes longer than the remaining wait', (t) =>
+  itSerial('should serve a request that arrives late in the shutdown and takes longer than the remaining wait', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 4_000 }]);
       const stops = await fleet.add('h1', 'other');
--- a/tests/mesh/lethalRequests.spec.ts
+++ b/tests/mesh/lethalRequests.spec.ts
@@ -7,7 +7,7 @@
 
 import type { ExecutionContext } from 'ava';
 import { CrashingTarget } from '../platform/crashingTarget.js';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 
 const kHosts = 6;
@@ -124,33 +124,33 @@
 }
 
 describe('a request that crashes the targets it runs on', () => {
-  itAlone('should crash at most three when it is idempotent and arrives every 0.3 s at any host', async (t) => {
+  itSerial('should crash at most three when it is idempotent and arrives every 0.3 s at any host', async (t) => {
     await withFleet(async (fleet) => {
       check(t, await runLoad(fleet, { lethal: [{ everyMs: 300, method: 'GET', path: '/s/lethal' }] }), kMaxCrashes);
     });
   });
 
-  itAlone('should crash at most three when only its body differs from normal requests', async (t) => {
+  itSerial('should crash at most three when only its body differs from normal requests', async (t) => {
     await withFleet(async (fleet) => {
       check(t, await runLoad(fleet, { lethal: [{ everyMs: 300, method: 'POST', path: '/s/items/', body: '{"lethal":1}' }] }), kMaxCrashes);
     });
   });
 
-  itAlone('should crash at most three when it is not idempotent', async (t) => {
+  itSerial('should crash at most three when it is not idempotent', async (t) => {
     await withFleet(async (fleet) => {
       const lethal = [{ everyMs: 300, method: 'POST' as const, path: '/once/lethal', body: '{}' }];
       check(t, await runLoad(fleet, { lethal, idempotent: false }), kMaxCrashes);
     });
   });
 
-  itAlone('should crash at most three when it arrives at hosts of several services', async (t) => {
+  itSerial('should crash at most three when it arrives at hosts of several services', async (t) => {
     await withFleet(async (fleet) => {
       const lethal = [{ everyMs: 300, method: 'GET' as const, path: '/s/lethal' }];
       check(t, await runLoad(fleet, { lethal, otherHosts: 3 }), kMaxCrashes);
     });
   });
 
-  itAlone('should crash at most three per fingerprint when there are two fingerprints', async (t) => {
+  itSerial('should crash at most three per fingerprint when there are two fingerprints', async (t) => {
     await withFleet(async (fleet) => {
       const paths = ['/s/lethal/a', '/s/lethal/b'];
       const lethal = paths.map((path) => ({ everyMs: 450, method: 'GET' as const, path }));
@@ -160,7 +160,7 @@
 });
 
 describe('targets that crash independently of requests', () => {
-  itAlone('should cause no request to be quarantined', async (t) => {
+  itSerial('should cause no request to be quarantined', async (t) => {
     await withFleet(async (fleet) => {
       const tally = await runLoad(fleet, { crashEveryMs: 550 });
       check(t, tally, Infinity);
--- a/tests/mesh/links.spec.ts
+++ b/tests/mesh/links.spec.ts
@@ -10,7 +10,7 @@
 import { Duplex } from 'node:stream';
 import type { CallResult } from '@gentiandrum/core';
 import { MessageReader, MessageWriter, type PeerCall, PeerCalls, PeerLink, type PeerMessage } from '@gentiandrum/mesh';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 
 const kCall: PeerCall = {
@@ -76,7 +76,7 @@
 }
 
 describe('a link to another daemon', () => {
-  itAlone('should be closed when the peer is unresponsive, and the call get 502 because it may have run', (t) =>
+  itSerial('should be closed when the peer is unresponsive, and the call get 502 because it may have run', (t) =>
     withFleet((fleet) =>
       withFakePeer(
         () => undefined,
@@ -90,7 +90,7 @@
     ),
   );
 
-  itAlone('should respond 503 when it cannot be opened, because nothing ran', (t) =>
+  itSerial('should respond 503 when it cannot be opened, because nothing ran', (t) =>
     withFleet(async (fleet) => {
       const host = await addHostWithKnownPeer(fleet, '127.0.0.1:9');
       const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
@@ -99,7 +99,7 @@
     }),
   );
 
-  itAlone('should respond 502 when it is lost with a call in flight, or receives a malformed message', (t) =>
+  itSerial('should respond 502 when it is lost with a call in flight, or receives a malformed message', (t) =>
     withFleet((fleet) =>
       withFakePeer(
         (socket) => {
@@ -134,7 +134,7 @@
         });
       };
 
-    itAlone('should respond 503 to a call that its goodbye does not list as accepted', (t) =>
+    itSerial('should respond 503 to a call that its goodbye does not list as accepted', (t) =>
       withFleet((fleet) =>
         withFakePeer(
           sendGoodbye((id) => id - 1),
@@ -148,7 +148,7 @@
       ),
     );
 
-    itAlone('should respond 502 to a call that was accepted and has no response', (t) =>
+    itSerial('should respond 502 to a call that was accepted and has no response', (t) =>
       withFleet((fleet) =>
         withFakePeer(
           sendGoodbye((id) => id),
@@ -160,7 +160,7 @@
       ),
     );
 
-    itAlone('should send the last accepted call id in its last message', (t) =>
+    itSerial('should send the last accepted call id in its last message', (t) =>
       withFleet(async (fleet) => {
         fleet.configure([{ prefix: '/a/', service: 'reads' }]);
         const near = await fleet.add('h1', 'other');
@@ -181,7 +181,7 @@
     );
   });
 
-  itAlone('should report a call as not run that was not yet written when the link was lost', (t) => {
+  itSerial('should report a call as not run that was not yet written when the link was lost', (t) => {
     const results: CallResult[] = [];
     const calls = new PeerCalls(() => ({ cancel: () => undefined }));
     const socket = new Duplex({ read: () => undefined, write: () => undefined });
@@ -203,7 +203,7 @@
     t.deepEqual(results, [{ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 }]);
   });
 
-  itAlone('should be used again after a restart of the peer', (t) =>
+  itSerial('should be used again after a restart of the peer', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const near = await fleet.add('h1', 'other');
@@ -216,7 +216,7 @@
     }),
   );
 
-  itAlone('should report a host as removed when another one responds at its address', (t) =>
+  itSerial('should report a host as removed when another one responds at its address', (t) =>
     withFleet(async (fleet) => {
       const successor = await fleet.add('h2', 'reads');
       const host = await addHostWithKnownPeer(fleet, successor.daemon.record.peers);
--- a/tests/mesh/logFollower.spec.ts
+++ b/tests/mesh/logFollower.spec.ts
@@ -8,7 +8,7 @@
 import { monotonicMs, type TargetRecord, TargetDirectory } from '@gentiandrum/core';
 import { type ConfigSource, EventLog, LogFollower, type PeerMessage, type RecordLog } from '@gentiandrum/mesh';
 import { type MeshSettings, meshSettingsSchema } from '@gentiandrum/protocol';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 const kZone = 'z1';
@@ -240,7 +240,7 @@
 }
 
 describe('the initial start of a deployment', () => {
-  itAlone('should have no reader while hosts are still discovering each other', async (t) => {
+  itSerial('should have no reader while hosts are still discovering each other', async (t) => {
     const time = new VirtualTime();
     try {
       const zone = new FakeZone(40, time, true);
@@ -258,7 +258,7 @@
 });
 
 describe('the log calls of a zone', () => {
-  itAlone('should not grow with the number of hosts', async (t) => {
+  itSerial('should not grow with the number of hosts', async (t) => {
     const calls: number[] = [];
     for (const count of [10, 40]) {
       await withZone(count, async (zone) => {
@@ -272,7 +272,7 @@
     t.true(many <= few + 5, String(many));
   });
 
-  itAlone('should write the records of all hosts in a few appends', (t) =>
+  itSerial('should write the records of all hosts in a few appends', (t) =>
     withZone(40, async (zone) => {
       await zone.run(10_000);
       t.is(zone.log.written.size, 40);
@@ -280,7 +280,7 @@
     }),
   );
 
-  itAlone('should stay few while the log is unavailable', (t) =>
+  itSerial('should stay few while the log is unavailable', (t) =>
     withZone(40, async (zone) => {
       zone.daemons.forEach(({ host }) => zone.log.refused.add(host));
       await zone.run(5_000);
@@ -306,14 +306,14 @@
     return zone.now - from;
   }
 
-  itAlone('should reach all daemons though only the readers follow the log', (t) =>
+  itSerial('should reach all daemons though only the readers follow the log', (t) =>
     withZone(40, async (zone) => {
       t.is(zone.readers.length, 2);
       t.true((await spreadMs(zone)) <= 700);
     }),
   );
 
-  itAlone('should arrive in time when one reader is killed or freezes', async (t) => {
+  itSerial('should arrive in time when one reader is killed or freezes', async (t) => {
     for (const seen of [true, false]) {
       await withZone(40, async (zone) => {
         const [reader] = zone.readers;
@@ -325,7 +325,7 @@
     }
   });
 
-  itAlone('should arrive in time when both readers are killed or freeze', async (t) => {
+  itSerial('should arrive in time when both readers are killed or freeze', async (t) => {
     for (const seen of [true, false]) {
       await withZone(40, async (zone) => {
         zone.readers.forEach((reader) => {
@@ -336,7 +336,7 @@
     }
   });
 
-  itAlone('should arrive in time when the log refuses the readers and a third of the other daemons', (t) =>
+  itSerial('should arrive in time when the log refuses the readers and a third of the other daemons', (t) =>
     withZone(40, async (zone) => {
       zone.readers.forEach(({ host }) => zone.log.refused.add(host));
       zone.daemons.filter((_, i) => i % 3 === 0).forEach(({ host }) => zone.log.refused.add(host));
@@ -345,7 +345,7 @@
     }),
   );
 
-  itAlone('should reach all daemons within seconds once the log is available again', (t) =>
+  itSerial('should reach all daemons within seconds once the log is available again', (t) =>
     withZone(40, async (zone) => {
       zone.daemons.forEach(({ host }) => zone.log.refused.add(host));
       await zone.run(15_000);
@@ -356,7 +356,7 @@
 });
 
 describe('a record that no reader writes', () => {
-  itAlone('should be written by its host', (t) =>
+  itSerial('should be written by its host', (t) =>
     withZone(10, async (zone) => {
       await zone.run(5_000);
       const lone = zone.daemons.find(({ follower }) => !follower.readsLog);
--- a/tests/mesh/peerLink.spec.ts
+++ b/tests/mesh/peerLink.spec.ts
@@ -6,7 +6,7 @@
 import type { Socket } from 'node:net';
 import { Duplex } from 'node:stream';
 import { MessageWriter, PeerLink } from '@gentiandrum/mesh';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { VirtualTime } from '../support/virtualTime.js';
 
 /** How often a daemon checks its links, in milliseconds. */
@@ -54,7 +54,7 @@
 }
 
 describe('a link to an unresponsive peer', () => {
-  itAlone('should be reported as unresponsive within half a second when a call is pending, and be closed later', (t) => {
+  itSerial('should be reported as unresponsive within half a second when a call is pending, and be closed later', (t) => {
     withLink((link, _socket, checkUntil, events) => {
       link.pendingCalls = 1;
       checkUntil(200);
@@ -68,7 +68,7 @@
     });
   });
 
-  itAlone('should be reported as responsive when a message is received', (t) => {
+  itSerial('should be reported as responsive when a message is received', (t) => {
     withLink((link, socket, checkUntil, events) => {
       link.pendingCalls = 1;
       checkUntil(500);
@@ -78,7 +78,7 @@
     });
   });
 
-  itAlone('should be reported as unresponsive within a second, and closed within two, after many answered pings', (t) => {
+  itSerial('should be reported as unresponsive within a second, and closed within two, after many answered pings', (t) => {
     withLink((link, socket, checkUntil, events) => {
       link.pendingCalls = 1;
       const kResponsiveMs = 5_000;
@@ -93,7 +93,7 @@
     });
   });
 
-  itAlone('should be pinged less often while it responds', (t) => {
+  itSerial('should be pinged less often while it responds', (t) => {
     withLink((link, socket, checkUntil) => {
       let probes = 0;
       link.send = () => {
@@ -112,7 +112,7 @@
     });
   });
 
-  itAlone('should ignore the time in which this process was stalled', (t) => {
+  itSerial('should ignore the time in which this process was stalled', (t) => {
     withLink((link, _socket, checkUntil, events, time) => {
       link.pendingCalls = 1;
       checkUntil(300);
@@ -122,7 +122,7 @@
     });
   });
 
-  itAlone('should be pinged at long intervals while no call is pending', (t) => {
+  itSerial('should be pinged at long intervals while no call is pending', (t) => {
     withLink((_link, _socket, checkUntil, events) => {
       checkUntil(2_000);
       t.deepEqual(events, []);
--- a/tests/mesh/quarantineLasts.spec.ts
+++ b/tests/mesh/quarantineLasts.spec.ts
@@ -6,7 +6,7 @@
 import type { ListedSuspect } from '@gentiandrum/core';
 import { request } from 'undici';
 import { CrashingTarget } from '../platform/crashingTarget.js';
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, withFleet } from './meshFleet.js';
 
 const kLethalPath = '/s/lethal';
@@ -55,7 +55,7 @@
 }
 
 describe('a quarantined request fingerprint', () => {
-  itAlone('should be refused as not run, with a retry delay', async (t) => {
+  itSerial('should be refused as not run, with a retry delay', async (t) => {
     await withFleet(async (fleet) => {
       const targets = await buildFleet(fleet, () => false);
       await untilQuarantined(fleet);
@@ -72,7 +72,7 @@
     });
   });
 
-  itAlone('should stay quarantined after a restart of one daemon, and of all daemons', async (t) => {
+  itSerial('should stay quarantined after a restart of one daemon, and of all daemons', async (t) => {
     await withFleet(async (fleet) => {
       const targets = await buildFleet(fleet, () => false);
       await untilQuarantined(fleet);
@@ -107,7 +107,7 @@
     });
   });
 
-  itAlone('should run again at all hosts after an operator releases it, and be cleared by its first success', async (t) => {
+  itSerial('should run again at all hosts after an operator releases it, and be cleared by its first success', async (t) => {
     await withFleet(async (fleet) => {
       let fixed = false;
       const targets = await buildFleet(fleet, () => fixed);
--- a/tests/mesh/storeEra.spec.ts
+++ b/tests/mesh/storeEra.spec.ts
@@ -8,14 +8,14 @@
  * offset would miss new records. The era in the responses reveals the restore.
  */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { withFleet } from './meshFleet.js';
 
 const kRecords = 'keyed.gentiandrum-hosts';
 const kConfig = 'keyed.op';
 
 describe('a store that is restored from an older copy', () => {
-  itAlone('should not bring an older configuration into force, and should deliver the next one at any offset', (t) =>
+  itSerial('should not bring an older configuration into force, and should deliver the next one at any offset', (t) =>
     withFleet(async (fleet) => {
       fleet.store.era = 4;
       fleet.configure([{ prefix: '/s/', service: 's' }]);
@@ -34,7 +34,7 @@
     }),
   );
 
-  itAlone('should receive the records of all hosts again', (t) =>
+  itSerial('should receive the records of all hosts again', (t) =>
     withFleet(async (fleet) => {
       fleet.store.era = 4;
       fleet.configure([{ prefix: '/s/', service: 's' }]);
@@ -55,7 +55,7 @@
     }),
   );
 
-  itAlone('should have responses of an older era ignored, and an unreadable era have no effect', (t) =>
+  itSerial('should have responses of an older era ignored, and an unreadable era have no effect', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/s/', service: 's' }]);
       const host = await fleet.add('a', 's');
--- a/tests/mesh/suspension.spec.ts
+++ b/tests/mesh/suspension.spec.ts
@@ -8,7 +8,7 @@
  * freshness proof would look newer than it is. The tests simulate a suspension by a jump of the wall clock.
  */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type FleetHost, type MeshFleet, type TestWorkspace, withFleet } from './meshFleet.js';
 
 const kCrew: TestWorkspace = { name: 'crew', keys: ['key-of-crew'] };
@@ -40,7 +40,7 @@
 }
 
 describe('a host that was suspended', () => {
-  itAlone('should refuse requests with keys while its proof is from before, and serve others', (t) =>
+  itSerial('should refuse requests with keys while its proof is from before, and serve others', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       fleet.store.mode = 'silent';
@@ -55,7 +55,7 @@
     }),
   );
 
-  itAlone('should serve requests with keys again once the log has responded', (t) =>
+  itSerial('should serve requests with keys again once the log has responded', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       await afterSuspension(async () => {
@@ -65,7 +65,7 @@
     }),
   );
 
-  itAlone('should count suspensions in its metrics', (t) =>
+  itSerial('should count suspensions in its metrics', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       await afterSuspension(async () => {
@@ -75,7 +75,7 @@
     }),
   );
 
-  itAlone('should not be detected when the wall clock is set back', (t) =>
+  itSerial('should not be detected when the wall clock is set back', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       const { now } = Date;
--- a/tests/mesh/workspaces.spec.ts
+++ b/tests/mesh/workspaces.spec.ts
@@ -5,7 +5,7 @@
 
 /** Tests keys, revocation and quotas over real sockets. */
 
-import { describe, itAlone } from '../support/describe.js';
+import { describe, itSerial } from '../support/describe.js';
 import { type CallerResponse, type FleetHost, type MeshFleet, type TestWorkspace, withFleet } from './meshFleet.js';
 import { RawCaller, requestText } from './rawCaller.js';
 
@@ -31,7 +31,7 @@
 }
 
 describe('keys', () => {
-  itAlone('should be required, be removed by the daemon, and set the workspace header for the target', (t) =>
+  itSerial('should be required, be removed by the daemon, and set the workspace header for the target', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       const refused = await fleet.call(host, '/a/x');
@@ -49,7 +49,7 @@
     }),
   );
 
-  itAlone('should be neither checked nor forwarded on exempt routes', (t) =>
+  itSerial('should be neither checked nor forwarded on exempt routes', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       for (const headers of [{}, bearer('key-of-crew'), bearer('nobody'), { 'x-tenant-id': 'crew' }]) {
@@ -60,7 +60,7 @@
     }),
   );
 
-  itAlone('should be forwarded and not required without workspaces', (t) =>
+  itSerial('should be forwarded and not required without workspaces', (t) =>
     withFleet(async (fleet) => {
       fleet.configure(kRoutes);
       const host = await fleet.add('h1', 'reads');
@@ -71,7 +71,7 @@
     }),
   );
 
-  itAlone('should be refused when two authorization headers differ', (t) =>
+  itSerial('should be refused when two authorization headers differ', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       for (const [second, status] of [
@@ -86,7 +86,7 @@
     }),
   );
 
-  itAlone('should belong to their workspace in the newest version, and be refused once removed', (t) =>
+  itSerial('should belong to their workspace in the newest version, and be refused once removed', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       fleet.configure(kRoutes, {}, 50, [
@@ -105,7 +105,7 @@
     }),
   );
 
-  itAlone('should not appear in metrics', (t) =>
+  itSerial('should not appear in metrics', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet);
       await fleet.call(host, '/a/x', { headers: bearer('unknown-key') });
@@ -117,7 +117,7 @@
 });
 
 describe('revocation', () => {
-  itAlone('should refuse only requests with keys at a daemon that receives no response from the log', (t) =>
+  itSerial('should refuse only requests with keys at a daemon that receives no response from the log', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet, [kCrew], kStrict);
       fleet.store.mode = 'silent';
@@ -140,7 +140,7 @@
     }),
   );
 
-  itAlone('should not affect daemons where it is not strict', (t) =>
+  itSerial('should not affect daemons where it is not strict', (t) =>
     withFleet(async (fleet) => {
       const host = await start(fleet, [kCrew], { ...kStrict, revocation: { strict: false, withinMs: 1_000 } });
       fleet.store.mode = 'silent';
@@ -149,7 +149,7 @@
     }),
   );
 
-  itAlone('should not affect a zone whose daemons the log refuses while another zone has a proof', (t) =>
+  itSerial('should not affect a zone whose daemons the log refuses while another zone has a proof', (t) =>
     withFleet(async (fleet) => {
       fleet.configure(kRoutes, {}, 50, [kCrew]);
       const reader = await fleet.add('h1', 'reads', { zone: 'z1', settings: kStrict });
@@ -175,7 +175,7 @@
 });
 
 describe('quotas', () => {
-  itAlone('should limit requests across all daemons, send a retry delay, and not affect other workspaces', (t) =>
+  itSerial('should limit requests across all daemons, send a retry delay, and not affect other workspaces', (t) =>
     withFleet(async (fleet) => {
       const workspaces = [kCrew, { name: 'bulk', keys: ['key-of-bulk'], ratePerSecond: 5, burst: 5 }];
       const settings = { quotas: kQuota };
@@ -205,7 +205,7 @@
     }),
   );
 
-  itAlone('should return the token of a request that did not run', (t) =>
+  itSerial('should return the token of a request that did not run', (t) =>
     withFleet(async (fleet) => {
       const workspaces = [{ name: 'bulk', keys: ['key-of-bulk'], ratePerSecond: 0.01, burst: 6 }];
       const host = await start(fleet, workspaces, {
--- a/tests/standins/targetStandin.ts
+++ b/tests/standins/targetStandin.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stand-in for a target: announces itself, does timed work in slots, calls onward, sheds and fails on demand. */
+/** Stand-in for a target: announces itself, does timed work, makes onward calls, and sheds or fails as configured. */
 
 import { createHash } from 'node:crypto';
 import { createServer, type IncomingMessage, request as httpRequest, type Server, type ServerResponse } from 'node:http';
@@ -16,41 +16,40 @@
   path: string;
 }
 
-/** What a target does; changed by `POST /-/behaviour`. */
+/** Configurable behaviour of a target, changed by `POST /-/behaviour`. */
 export interface Behaviour {
   workMs: number;
   onward: OnwardCall[];
-  /** Calls that run at once; more are shed with 503 and `Retry-After`. */
+  /** Maximum number of concurrent calls; further ones are shed with 503 and `Retry-After`. */
   slots: number;
   accepting: boolean;
-  /** Answers with this status instead of 200, for the next `failures` calls. */
+  /** Response status of the next `failures` calls, instead of 200. */
   failStatus: number;
   failures: number;
-  /** Cuts so many answers half way. */
+  /** Number of upcoming responses that are truncated. */
   truncate: number;
-  /** Closes the connection without an answer, after the work, so many times. */
+  /** Number of upcoming calls whose connection is closed after the work without a response. */
   drop: number;
-  /** A call whose path has this in it ends the process while it runs; none when empty. */
+  /** The process exits while it runs a call whose path contains this text; disabled if empty. */
   endsOn: string;
-  /** Echoes the request's body instead of a short text. */
+  /** Returns the request body instead of a short text. */
   echo: boolean;
 }
 
-/** Where a target stands. */
+/** Name of a target, its service and the address of its daemon. */
 export interface TargetPlace {
   target: string;
   service: string;
   daemon: string;
 }
 
-const kAnnounceMs = 500;
-/** Time for which a call that ends the process runs, in milliseconds. */
-const kFatalMs = 30;
-const kConnections = 1_000;
+const kAnnounceIntervalMs = 500;
+/** Time between the start of a call that crashes the process and the crash, in milliseconds. */
+const kCrashDelayMs = 30;
+const kMaxConnections = 1_000;
 
-/** A target. */
 export class TargetStandin {
-  /** Runs by the `x-call` header of the requests. */
+  /** Number of runs by the `x-call` header of the requests. */
   readonly runs = new Map<string, number>();
   started = 0;
   ended = 0;
@@ -65,7 +64,7 @@
     private readonly _place: TargetPlace,
     behaviour: Partial<Behaviour> = {},
   ) {
-    const none = {
+    const defaults = {
       workMs: 1,
       onward: [],
       slots: 50,
@@ -77,29 +76,29 @@
       endsOn: '',
       echo: false,
     };
-    this.behaviour = { ...none, ...behaviour };
+    this.behaviour = { ...defaults, ...behaviour };
     this._server = createServer((req, res) => {
       void this._serve(req, res).catch(() => res.destroy());
     });
     this._server.keepAliveTimeout = 75_000;
   }
 
-  /** Listens on the loopback and announces itself from now on. */
+  /** Listens on the loopback interface and starts to announce itself periodically. */
   async start(): Promise<void> {
     await new Promise<void>((resolve) => this._server.listen(0, '127.0.0.1', resolve));
     const address = this._server.address();
     this._url = `http://127.0.0.1:${typeof address === 'object' && address ? address.port : 0}`;
     this._timer = setInterval(() => {
       void this.announce();
-    }, kAnnounceMs);
+    }, kAnnounceIntervalMs);
     await this.announce();
   }
 
-  /** Announces itself once; true when the daemon took it. */
+  /** Announces itself once; returns whether the daemon accepted the announcement. */
   async announce(): Promise<boolean> {
     const { target, service, daemon } = this._place;
     const { slots, accepting } = this.behaviour;
-    const body = JSON.stringify({ target, service, url: this._url, slots, connections: kConnections, accepting, load: this._running });
+    const body = JSON.stringify({ target, service, url: this._url, slots, connections: kMaxConnections, accepting, load: this._running });
     try {
       const res = await fetch(`http://${daemon}/-/announce`, { method: 'POST', body, headers: { 'content-type': 'application/json' } });
       return res.ok;
@@ -139,26 +138,26 @@
     this.runs.set(call, (this.runs.get(call) ?? 0) + 1);
     const { endsOn } = this.behaviour;
     if (endsOn !== '' && req.url?.includes(endsOn) === true) {
-      setTimeout(() => process.exit(1), kFatalMs);
+      setTimeout(() => process.exit(1), kCrashDelayMs);
       return;
     }
-    const gone = (): boolean => res.closed && !res.writableEnded;
+    const callerGone = (): boolean => res.closed && !res.writableEnded;
     await new Promise((resolve) => setTimeout(resolve, this.behaviour.workMs));
     for (const onward of this.behaviour.onward) {
-      const status = gone() ? 499 : await this._callOnward(onward, req, res);
+      const status = callerGone() ? 499 : await this._callOnward(onward, req, res);
       if (status >= 400) {
-        this._finish(res, status >= 500 ? 502 : status, 'onward call failed');
+        this._sendStatus(res, status >= 500 ? 502 : status, 'onward call failed');
         return;
       }
     }
-    if (gone()) {
+    if (callerGone()) {
       this.cancelled++;
       return;
     }
-    this._answer(req, res, body);
+    this._respond(req, res, body);
   }
 
-  private _answer(req: IncomingMessage, res: ServerResponse, body: Buffer): void {
+  private _respond(req: IncomingMessage, res: ServerResponse, body: Buffer): void {
     const { behaviour } = this;
     if (behaviour.drop > 0) {
       behaviour.drop--;
@@ -170,7 +169,7 @@
       setTimeout(() => res.destroy(), 5);
     } else if (behaviour.failures > 0) {
       behaviour.failures--;
-      this._finish(res, behaviour.failStatus, 'failed on demand');
+      this._sendStatus(res, behaviour.failStatus, 'failed on demand');
     } else {
       const text = behaviour.echo ? body : Buffer.from(`${this._place.service} ${req.method} ${req.url}`);
       res.writeHead(200, { 'x-target': this._place.target, 'x-digest': createHash('sha256').update(text).digest('hex') }).end(text);
@@ -178,12 +177,12 @@
     }
   }
 
-  private _finish(res: ServerResponse, status: number, text: string): void {
+  private _sendStatus(res: ServerResponse, status: number, text: string): void {
     res.writeHead(status, { 'x-target': this._place.target }).end(text);
     this.ended++;
   }
 
-  /** Calls onward through the own daemon, with the chain's headers copied as any traced service does. */
+  /** Makes an onward call through the local daemon, and propagates the trace headers as an instrumented service does. */
   private _callOnward(onward: OnwardCall, req: IncomingMessage, res: ServerResponse): Promise<number> {
     const headers: Record<string, string> = {};
     for (const name of ['baggage', 'traceparent', 'x-call']) {
@@ -194,17 +193,17 @@
     }
     return new Promise((resolve) => {
       const url = `http://${this._place.daemon}/${onward.service}${onward.path}`;
-      const sent = httpRequest(url, { method: onward.method, headers }, (answer) => {
-        answer.resume();
-        answer.on('end', () => {
-          resolve(answer.statusCode ?? 502);
+      const onwardReq = httpRequest(url, { method: onward.method, headers }, (onwardRes) => {
+        onwardRes.resume();
+        onwardRes.on('end', () => {
+          resolve(onwardRes.statusCode ?? 502);
         });
       });
-      sent.on('error', () => {
+      onwardReq.on('error', () => {
         resolve(502);
       });
-      res.on('close', () => sent.destroy());
-      sent.end();
+      res.on('close', () => onwardReq.destroy());
+      onwardReq.end();
     });
   }
 
@@ -218,7 +217,7 @@
     sendJson(res, 200, { started, ended, cancelled, running, runs: Object.fromEntries(this.runs) });
   }
 
-  /** Base address of the target. */
+  /** Base URL of the target; empty before the start. */
   get url(): string {
     return this._url;
   }
--- a/tests/support/freePorts.ts
+++ b/tests/support/freePorts.ts
@@ -4,33 +4,31 @@
  */
 
 /**
- * Ports for processes under test: below the range from which the system takes ports of outgoing connections, which could otherwise be
- * given one between its choice and its use. Each test process has a block of its own, also beside other runs of the tests: it listens on
- * the first port of the block until it ends. A process under test may take seconds until it listens on its port, and two fleets that chose
- * the same one answered each other's calls.
+ * Ports for processes under test, below the ephemeral range so that no outgoing connection takes one before its process listens on it.
+ * Each test process reserves a block by listening on its first port, so that concurrent test processes never choose the same ports.
  */
 
 import { createServer, type Server } from 'node:net';
 
 const kFirstPort = 12_000;
-const kPortsOfBlock = 200;
-const kBlocks = 100;
+const kPortsPerBlock = 200;
+const kBlockCount = 100;
 
-interface Block {
+interface PortBlock {
   first: number;
-  taken: number;
+  used: number;
 }
 
-let block: Promise<Block> | undefined;
+let block: Promise<PortBlock> | undefined;
 
-/** Addresses on the loopback that are free, and that no other test process chooses. */
+/** Returns free addresses on the loopback interface that no other test process chooses. */
 export async function freeAddresses(count: number): Promise<string[]> {
-  block ??= takeBlock();
-  const own = await block;
+  block ??= reserveBlock();
+  const reserved = await block;
   const addresses: string[] = [];
   while (addresses.length < count) {
-    // Ports of fleets that have ended are used again.
-    const port = own.first + 1 + (own.taken++ % (kPortsOfBlock - 1));
+    // Wraps around, so that ports of stopped fleets are reused.
+    const port = reserved.first + 1 + (reserved.used++ % (kPortsPerBlock - 1));
     const server = await listenOn(port);
     if (server) {
       await new Promise((resolve) => server.close(resolve));
@@ -40,25 +38,25 @@
   return addresses;
 }
 
-/** One such address. */
+/** Returns one free address, see `freeAddresses`. */
 export async function freeAddress(): Promise<string> {
   const [address = ''] = await freeAddresses(1);
   return address;
 }
 
-async function takeBlock(): Promise<Block> {
-  for (let i = 0; i < kBlocks; i++) {
-    const first = kFirstPort + ((process.pid + i) % kBlocks) * kPortsOfBlock;
+async function reserveBlock(): Promise<PortBlock> {
+  for (let i = 0; i < kBlockCount; i++) {
+    const first = kFirstPort + ((process.pid + i) % kBlockCount) * kPortsPerBlock;
     const server = await listenOn(first);
     if (server) {
       server.unref();
-      return { first, taken: 0 };
+      return { first, used: 0 };
     }
   }
-  throw new Error(`expected a free block among ${kBlocks}, got none`);
+  throw new Error(`expected a free block of ports among ${kBlockCount}, got none`);
 }
 
-/** Listens on a port of the loopback; undefined when it is in use. */
+/** Listens on a port of the loopback interface; undefined if the port is in use. */
 function listenOn(port: number): Promise<Server | undefined> {
   const server = createServer();
   return new Promise((resolve) => {
