--- a/packages/daemon/src/app/callService.ts
+++ b/packages/daemon/src/app/callService.ts
@@ -40,10 +40,10 @@
 import { CallSession, type SessionDeps } from './callSession.js';
 import type { ClaimService } from './claimService.js';
 import type { DecisionLog } from './decisionLog.js';
-import { digestOf, spreadHash, spreadHashOf, wideHash } from './digests.js';
-import { Ids } from './ids.js';
+import { digestOf, hash32, hashBytes64, hash64 } from './digests.js';
+import { IdGenerator } from './idGenerator.js';
 import type { Metrics } from './metrics.js';
-import { type KeyText, parseKey } from './keyText.js';
+import { type ParsedKey, parseIdempotencyKey } from './idempotencyKey.js';
 
 /** A request as the HTTP side hands it over. */
 export interface IncomingRequest {
@@ -57,10 +57,10 @@
 }
 
 /** A request that was taken in: how it ends, and how to tell that its caller hung up. */
-export interface TakenRequest {
+export interface AcceptedRequest {
   id: string;
-  served: Promise<ServeResult>;
-  callerGone: () => void;
+  result: Promise<ServeResult>;
+  onCallerDisconnect: () => void;
 }
 
 /** What the service uses of its daemon. */
@@ -68,8 +68,8 @@
   daemon: ServeContext['daemon'];
   stopping: () => boolean;
   candidates: (service: string) => readonly Candidate[];
-  unreachable: (candidate: Candidate) => void;
-  absent: (service: string) => number;
+  onUnreachable: (candidate: Candidate) => void;
+  unavailableTargets: (service: string) => number;
   suspects: Suspects;
   addressOf: (daemon: string) => string | undefined;
   picker: TargetPicker;
@@ -86,19 +86,19 @@
 export class CallService {
   readonly settler = new KeySettler();
   readonly answers: ResponseStore;
-  private readonly _ids: Ids;
-  private readonly _ratios = new Map<string, RetryTokenBucket>();
+  private readonly _ids: IdGenerator;
+  private readonly _retryBuckets = new Map<string, RetryTokenBucket>();
   private readonly _ordinals = new Map<string, Map<string, number>>();
   private readonly _ctx: ServeContext;
   private _classifier: Classifier;
   private _inFlight = 0;
-  private _bytes = 0;
+  private _bodyBytes = 0;
 
   constructor(
     private readonly _deps: CallDeps,
     private _cfg: Config,
   ) {
-    this._ids = new Ids(_deps.daemon.id, _deps.daemon.incarnation);
+    this._ids = new IdGenerator(_deps.daemon.id, _deps.daemon.incarnation);
     this.answers = new ResponseStore(_deps.answerBytes);
     this._classifier = new Classifier(_cfg);
     this._ctx = this._makeContext();
@@ -123,19 +123,19 @@
   }
 
   /** Takes a request in. */
-  take(req: IncomingRequest): TakenRequest {
+  accept(req: IncomingRequest): AcceptedRequest {
     const id = this._ids.next();
     const call = this._makeCall(id, req);
     if (typeof call === 'string') {
       this._deps.decisions.add({ request: id, step: 'refuse', cls: 'none', reason: call });
-      return { id, served: Promise.resolve(this.refusal(call)), callerGone: () => undefined };
+      return { id, result: Promise.resolve(this.refusal(call)), onCallerDisconnect: () => undefined };
     }
     const session = new CallSession(this._deps);
     return {
       id,
-      served: this._serve(call, session),
-      callerGone: () => {
-        session.callerGone();
+      result: this._serve(call, session),
+      onCallerDisconnect: () => {
+        session.onCallerDisconnect();
       },
     };
   }
@@ -160,18 +160,18 @@
     const startedAt = monotonicMs();
     const size = call.payload.body.byteLength;
     this._inFlight++;
-    this._bytes += size;
+    this._bodyBytes += size;
     try {
-      const served = await runProcedure(serveCall(call, this._ctx), this._performers(session));
-      this._measure(call, served, monotonicMs() - startedAt);
+      const served = await runProcedure(serveCall(call, this._ctx), this._effectHandlers(session));
+      this._recordMetrics(call, served, monotonicMs() - startedAt);
       return served;
     } finally {
       this._inFlight--;
-      this._bytes -= size;
+      this._bodyBytes -= size;
     }
   }
 
-  private _measure(call: Call, served: ServeResult, ms: number): void {
+  private _recordMetrics(call: Call, served: ServeResult, ms: number): void {
     const end = served.kind === 'answer' ? String(served.answer.status) : served.error;
     const tags = { class: call.cls.name, service: call.cls.service, end };
     this._deps.metrics.count('request', tags);
@@ -187,14 +187,14 @@
     if (!cls) {
       return 'unknown_class';
     }
-    if (this._bytes + payload.body.byteLength > this._deps.inFlightBytes) {
+    if (this._bodyBytes + payload.body.byteLength > this._deps.inFlightBytes) {
       return 'overloaded';
     }
-    const chain = this._placeInChain(id, cls, req);
+    const chain = this._chainPositionOf(id, cls, req);
     if (chain.depth > kMaxChainDepth) {
       return 'chain_too_deep';
     }
-    const parsed = parseKey(req.key);
+    const parsed = parseIdempotencyKey(req.key);
     if (parsed.kind === 'bad') {
       return 'bad_key';
     }
@@ -208,13 +208,13 @@
     return monotonicMs() + Math.min(cls.deadlineMs, req.timeoutMs ?? Infinity, byChain);
   }
 
-  private _placeInChain(id: string, cls: NamedClass, { chain: token, payload }: IncomingRequest): ChainPosition {
+  private _chainPositionOf(id: string, cls: NamedClass, { chain: token, payload }: IncomingRequest): ChainPosition {
     const { daemon } = this._deps;
     if (!token) {
       return {
         root: id,
         importance: importanceIndex(cls.importance),
-        cohort: cohortOf(spreadHash(id)),
+        cohort: cohortOf(hash32(id)),
         depth: 0,
         rootDaemon: daemon.id,
         rootAddress: daemon.address,
@@ -225,11 +225,11 @@
     }
     const { root, importance, cohort, depth, rootDaemon, rootAddress, repeatable, entry } = token;
     const rootIncarnation = Number(token.rootIncarnation);
-    const path = repeatable ? this._pathOf(token, cls, payload) : '';
+    const path = repeatable ? this._chainPathOf(token, cls, payload) : '';
     return { root, parent: entry, importance, cohort, depth: depth + 1, rootDaemon, rootAddress, rootIncarnation, repeatable, path };
   }
 
-  private _keyOf(parsed: KeyText, cls: NamedClass, chain: ChainPosition): CallKey {
+  private _keyOf(parsed: ParsedKey, cls: NamedClass, chain: ChainPosition): CallKey {
     switch (parsed.kind) {
       case 'own':
         return { kind: 'own', key: digestOf('own', cls.service, parsed.text) };
@@ -248,9 +248,9 @@
   }
 
   /** Names a call within its chain by its parent, its own content, and its number among equal calls of that parent. */
-  private _pathOf(token: ChainToken, cls: NamedClass, payload: Payload): string {
-    const call = `${cls.name} ${payload.method} ${payload.path} ${spreadHashOf(payload.body)}`;
-    return wideHash(`${token.path}/${call}/${this._nextOrdinal(token.entry, call)}`);
+  private _chainPathOf(token: ChainToken, cls: NamedClass, payload: Payload): string {
+    const call = `${cls.name} ${payload.method} ${payload.path} ${hashBytes64(payload.body)}`;
+    return hash64(`${token.path}/${call}/${this._nextOrdinal(token.entry, call)}`);
   }
 
   /** Numbers equal calls of one parent: the second of two equal holds is meant, a retried parent's first is not. */
@@ -259,16 +259,16 @@
     const ordinal = counts.get(call) ?? 0;
     counts.set(call, ordinal + 1);
     this._ordinals.set(parent, counts);
-    for (const known of this._ordinals.keys()) {
-      if (this._deps.ledger.has(known)) {
+    for (const parentEntry of this._ordinals.keys()) {
+      if (this._deps.ledger.has(parentEntry)) {
         break;
       }
-      this._ordinals.delete(known);
+      this._ordinals.delete(parentEntry);
     }
     return ordinal;
   }
 
-  private _performers(session: CallSession): EffectHandlers {
+  private _effectHandlers(session: CallSession): EffectHandlers {
     const { claims, peers } = this._deps;
     return {
       offer: (effect) => session.offer(effect),
@@ -302,18 +302,18 @@
   }
 
   private _makeContext(): ServeContext {
-    const { daemon, stopping, candidates, unreachable, absent, suspects, picker, ledger, claims, decisions } = this._deps;
+    const { daemon, stopping, candidates, onUnreachable, unavailableTargets, suspects, picker, ledger, claims, decisions } = this._deps;
     return {
       daemon,
       stopping,
       candidates,
-      onUnreachable: unreachable,
-      unavailableTargets: absent,
+      onUnreachable,
+      unavailableTargets,
       suspects,
       picker,
       ledger,
       rootFilter: new RootFilter(() => this._cfg.overload.favour),
-      retryRatio: (service) => this._ratio(service),
+      retryRatio: (service) => this._retryBucketOf(service),
       answers: this.answers,
       settler: this.settler,
       claimShard: (key) => claims.shardOf(key),
@@ -324,12 +324,12 @@
     };
   }
 
-  private _ratio(service: string): RetryTokenBucket {
-    let ratio = this._ratios.get(service);
-    if (!ratio) {
-      ratio = new RetryTokenBucket(() => this._cfg.retryRatio);
-      this._ratios.set(service, ratio);
+  private _retryBucketOf(service: string): RetryTokenBucket {
+    let bucket = this._retryBuckets.get(service);
+    if (!bucket) {
+      bucket = new RetryTokenBucket(() => this._cfg.retryRatio);
+      this._retryBuckets.set(service, bucket);
     }
-    return ratio;
+    return bucket;
   }
 }
--- a/packages/daemon/src/app/callSession.ts
+++ b/packages/daemon/src/app/callSession.ts
@@ -14,8 +14,8 @@
 import { isErrorKind, kOpenReport } from '@gentiandrum/core';
 
 /** Time for the word whether a cancelled attempt had started, in milliseconds. */
-const kCancelMs = 50;
-const kMaxReplyBytes = 260 * 1024 * 1024;
+const kCancelTimeoutMs = 50;
+const kMaxResponseBytes = 260 * 1024 * 1024;
 
 /** What a session uses of its daemon. */
 export interface SessionDeps {
@@ -25,22 +25,22 @@
   /** Offers to other daemons that have no end yet, by the daemons' ids. */
   openOffers: OpenOffers;
   /** Whether the daemon of a target has left and proved that it never took an attempt. */
-  neverTook: (to: Candidate, attempt: string) => Promise<boolean>;
+  neverAccepted: (to: Candidate, attempt: string) => Promise<boolean>;
 }
 
 /** Attempts of one call. */
 export class CallSession {
   private readonly _events: CallEvent[] = [];
-  private readonly _running = new Map<string, HttpExchange>();
+  private readonly _exchanges = new Map<string, HttpExchange>();
   private _wake: ((event: CallEvent) => void) | undefined;
-  private _gone = false;
+  private _callerDisconnected = false;
 
   constructor(private readonly _deps: SessionDeps) {}
 
   /** The caller hung up. */
-  callerGone(): void {
-    if (!this._gone) {
-      this._gone = true;
+  onCallerDisconnect(): void {
+    if (!this._callerDisconnected) {
+      this._callerDisconnected = true;
       this._push({ kind: 'caller_gone' });
     }
   }
@@ -52,8 +52,8 @@
       void this._deps.offers
         .offer(terms, payload)
         .catch((): OfferResult => ({ kind: 'lost', written: true }))
-        .then((end) => {
-          this._push({ kind: 'ended', attempt, result: end });
+        .then((result) => {
+          this._push({ kind: 'ended', attempt, result });
         });
     } else {
       this._send(attempt, to, terms, payload);
@@ -85,8 +85,8 @@
 
   /** Cancels an attempt; learns whether it had started if that is awaited. */
   async cancel({ attempt, to, awaited }: Effects['cancel']['params']): Promise<Effects['cancel']['reply']> {
-    const word = this._cancel(attempt, to);
-    return awaited ? word : { kind: 'unknown' };
+    const reply = this._cancel(attempt, to);
+    return awaited ? reply : { kind: 'unknown' };
   }
 
   private async _cancel(attempt: string, to: Candidate): Promise<Effects['cancel']['reply']> {
@@ -94,10 +94,10 @@
       return { kind: this._deps.offers.cancel(attempt) };
     }
     const req = { method: 'POST', path: `/-/cancel/${encodeURIComponent(attempt)}`, headers: {}, body: new Uint8Array() };
-    const end = await exchange(this._deps.pools.to(`http://${to.address}`), req, 1_024, kCancelMs);
-    const running = this._running.get(attempt);
-    this._running.delete(attempt);
-    running?.abort();
+    const end = await exchange(this._deps.pools.to(`http://${to.address}`), req, 1_024, kCancelTimeoutMs);
+    const httpExchange = this._exchanges.get(attempt);
+    this._exchanges.delete(attempt);
+    httpExchange?.abort();
     if (end.kind !== 'answered' || end.status !== 200) {
       return { kind: 'unknown' };
     }
@@ -111,25 +111,25 @@
     const offer = JSON.stringify({ terms, method, path, headers, from: selfId });
     const req = { method: 'POST', path: '/-/offer', headers: { [kOfferHeader]: offer, 'content-type': 'application/octet-stream' }, body };
     openOffers.sent(to.daemon);
-    const exchanged = new HttpExchange(this._deps.pools.to(`http://${to.address}`), req, kMaxReplyBytes, (end) => {
-      const wanted = this._running.delete(attempt);
+    const httpExchange = new HttpExchange(this._deps.pools.to(`http://${to.address}`), req, kMaxResponseBytes, (end) => {
+      const awaited = this._exchanges.delete(attempt);
       openOffers.ended(to.daemon);
-      if (end.kind === 'lost' && end.written && wanted && !terms.idempotent) {
-        void this._lost(attempt, to, end, deadline);
+      if (end.kind === 'lost' && end.written && awaited && !terms.idempotent) {
+        void this._onOfferLost(attempt, to, end, deadline);
       } else {
-        this._push({ kind: 'ended', attempt, result: offerEnd(end) });
+        this._push({ kind: 'ended', attempt, result: offerResultOf(end) });
       }
     });
-    this._running.set(attempt, exchanged);
+    this._exchanges.set(attempt, httpExchange);
   }
 
   /**
    * An offer that must not run twice was written to a connection that ended without an answer. A daemon that left as planned has told
    * which offers it may have taken; any other one was not, and may go to another target. Past its deadline nothing is proved any more.
    */
-  private async _lost(attempt: string, to: Candidate, end: Extract<ExchangeEnd, { kind: 'lost' }>, deadline: number): Promise<void> {
-    const neverTook = await this._deps.neverTook(to, attempt);
-    const written = !neverTook || monotonicMs() >= deadline;
+  private async _onOfferLost(attempt: string, to: Candidate, end: Extract<ExchangeEnd, { kind: 'lost' }>, deadline: number): Promise<void> {
+    const neverAccepted = await this._deps.neverAccepted(to, attempt);
+    const written = !neverAccepted || monotonicMs() >= deadline;
     this._push({ kind: 'ended', attempt, result: { ...end, written } });
   }
 
@@ -143,7 +143,7 @@
 }
 
 /** Reads the gate's answer. One that can't be read is as good as lost. */
-function offerEnd(end: ExchangeEnd): OfferResult {
+function offerResultOf(end: ExchangeEnd): OfferResult {
   if (end.kind === 'lost') {
     return end;
   }
@@ -155,38 +155,44 @@
     JSON.parse(header),
   );
   const common = { unspent, level, load: { load, limit } };
-  const known = reason !== undefined && isErrorKind(reason) ? reason : 'target_failed';
+  const errorKind = reason !== undefined && isErrorKind(reason) ? reason : 'target_failed';
   switch (kind) {
     case 'answered':
       return { kind, answer: { status: status ?? 502, headers: headers ?? {}, body: end.body }, retriedBelow, ...common };
     case 'refused':
-      return { kind, reason: known, ...common, ...(suspicion ? { suspicion } : {}) };
+      return { kind, reason: errorKind, ...common, ...(suspicion ? { suspicion } : {}) };
     case 'failed':
-      return { kind, reason: known, retriedBelow, ...common, ...(suspicion ? { suspicion } : {}) };
+      return { kind, reason: errorKind, retriedBelow, ...common, ...(suspicion ? { suspicion } : {}) };
     case 'lost':
       return { kind, written: true };
   }
 }
 
 /** The gate's answer as it travels. */
-export function verdictHeader(end: OfferResult): string {
-  if (end.kind === 'lost') {
+export function verdictHeader(result: OfferResult): string {
+  if (result.kind === 'lost') {
     return JSON.stringify({ kind: 'lost', unspent: 0, level: kOpenReport, retriedBelow: false, load: 0, limit: 1 });
   }
-  const { load } = end;
-  const common = { unspent: end.unspent, level: end.level, load: load?.load ?? 0, limit: load?.limit ?? 1 };
-  switch (end.kind) {
+  const { load } = result;
+  const common = { unspent: result.unspent, level: result.level, load: load?.load ?? 0, limit: load?.limit ?? 1 };
+  switch (result.kind) {
     case 'answered':
       return JSON.stringify({
         kind: 'answered',
-        retriedBelow: end.retriedBelow,
-        status: end.answer.status,
-        headers: end.answer.headers,
+        retriedBelow: result.retriedBelow,
+        status: result.answer.status,
+        headers: result.answer.headers,
         ...common,
       });
     case 'refused':
-      return JSON.stringify({ kind: 'refused', retriedBelow: false, reason: end.reason, suspicion: end.suspicion, ...common });
+      return JSON.stringify({ kind: 'refused', retriedBelow: false, reason: result.reason, suspicion: result.suspicion, ...common });
     case 'failed':
-      return JSON.stringify({ kind: 'failed', retriedBelow: end.retriedBelow, reason: end.reason, suspicion: end.suspicion, ...common });
+      return JSON.stringify({
+        kind: 'failed',
+        retriedBelow: result.retriedBelow,
+        reason: result.reason,
+        suspicion: result.suspicion,
+        ...common,
+      });
   }
 }
--- a/packages/daemon/src/app/claimService.ts
+++ b/packages/daemon/src/app/claimService.ts
@@ -18,7 +18,7 @@
 import { GroupAppender } from '../client/groupAppender.js';
 import type { LogClient } from '../client/logClient.js';
 import { StreamTail } from '../client/streamTail.js';
-import { spreadHash } from './digests.js';
+import { hash32 } from './digests.js';
 
 interface Shard {
   index: ClaimIndex;
@@ -29,8 +29,8 @@
 /** Claims as seen by one daemon. */
 export class ClaimService {
   private readonly _shards = new Map<number, Shard>();
-  private readonly _homes = new Map<number, string | undefined>();
-  private _homesOf = -1;
+  private readonly _relays = new Map<number, string | undefined>();
+  private _relaysChangeCount = -1;
 
   constructor(
     private readonly _log: LogClient,
@@ -45,8 +45,8 @@
 
   /** Shard of a key, its index, and the daemon that batches for it when that is another. */
   shardOf(key: string): { shard: number; index: ClaimIndex; relay?: string } {
-    const shard = spreadHash(key) % this._limits.claimShards;
-    return { shard, index: this._shard(shard).index, relay: this._home(shard) };
+    const shard = hash32(key) % this._limits.claimShards;
+    return { shard, index: this._shard(shard).index, relay: this._relay(shard) };
   }
 
   /** Appends a claim with the next group of its shard. */
@@ -60,7 +60,7 @@
   }
 
   /** Claims for another daemon. */
-  claimFor(record: ClaimRecord): Promise<ClaimedInLog> {
+  claimForPeer(record: ClaimRecord): Promise<ClaimedInLog> {
     const { shard, index } = this.shardOf(record.key);
     return runProcedure(claimInLog(record, shard, index), {
       appendClaim: (effect) => this.append(effect.shard, effect.record),
@@ -84,29 +84,29 @@
   }
 
   /** Address of the daemon of the own region that batches for a shard; undefined when it is this one. */
-  private _home(shard: number): string | undefined {
-    if (this._homesOf !== this._view.changeCount) {
-      this._homes.clear();
-      this._homesOf = this._view.changeCount;
+  private _relay(shard: number): string | undefined {
+    if (this._relaysChangeCount !== this._view.changeCount) {
+      this._relays.clear();
+      this._relaysChangeCount = this._view.changeCount;
     }
-    if (!this._homes.has(shard)) {
-      this._homes.set(shard, this._findHome(shard));
+    if (!this._relays.has(shard)) {
+      this._relays.set(shard, this._findRelay(shard));
     }
-    return this._homes.get(shard);
+    return this._relays.get(shard);
   }
 
   /** The highest hash of daemon and shard wins; only efficiency depends on all daemons agreeing on it. */
-  private _findHome(shard: number): string | undefined {
+  private _findRelay(shard: number): string | undefined {
     const { self } = this._view;
-    let home = self;
-    let highest = spreadHash(`${shard}/${self.id}`);
+    let relay = self;
+    let highest = hash32(`${shard}/${self.id}`);
     for (const member of this._view.all()) {
-      const weight = spreadHash(`${shard}/${member.id}`);
+      const weight = hash32(`${shard}/${member.id}`);
       if (member.state === 'alive' && member.region === self.region && weight > highest) {
-        home = member;
+        relay = member;
         highest = weight;
       }
     }
-    return home.id === self.id ? undefined : home.address;
+    return relay.id === self.id ? undefined : relay.address;
   }
 }
--- a/packages/daemon/src/app/configService.ts
+++ b/packages/daemon/src/app/configService.ts
@@ -22,22 +22,22 @@
 import type { LogClient } from '../client/logClient.js';
 import type { PeerClient } from '../client/peerClient.js';
 import { StreamTail } from '../client/streamTail.js';
-import { spreadHash, textDigest } from './digests.js';
+import { hash32, hexDigest } from './digests.js';
 import type { Logger } from './logger.js';
 
 /** Daemons of each zone that follow the log. */
 const kReadersPerZone = 2;
-const kFollowMs = 10_000;
+const kFollowWaitMs = 10_000;
 const kRetryMs = 500;
 /** Every daemon looks at the log at least this often, unless there are so many that the log would be crowded. */
-const kLookMs = 3_000;
-const kLooksPerSecond = 100;
-const kKeptRecords = 300;
+const kMinPollPeriodMs = 3_000;
+const kMaxPollsPerSecond = 100;
+const kMaxCachedRecords = 300;
 /** Records after which a snapshot is due, and the time after which one is renewed for the sake of retention. */
-const kSnapshotRecords = 100;
-const kSnapshotMs = 600_000;
+const kRecordsPerSnapshot = 100;
+const kMaxSnapshotAgeMs = 600_000;
 
-interface KeptRecord {
+interface CachedRecord {
   offset: number;
   value: unknown;
 }
@@ -47,12 +47,12 @@
   readonly fold = new ConfigFold();
   private readonly _tail: StreamTail;
   private readonly _snapshots: StreamTail;
-  private _kept: KeptRecord[] = [];
+  private _cachedRecords: CachedRecord[] = [];
   private _snapshotOffset = 0;
   private _snapshotAt = 0;
   private _snapshotNext = 0;
   private _stopped = false;
-  private _timer: NodeJS.Timeout | undefined;
+  private _pollTimer: NodeJS.Timeout | undefined;
   private _fetching = false;
 
   /** @param _onVersion called when a new version is in force here */
@@ -97,13 +97,13 @@
   /** Starts to keep the configuration current. */
   start(): void {
     void this._followLoop();
-    this._scheduleLook();
+    this._schedulePoll();
   }
 
   /** Stops. */
   stop(): void {
     this._stopped = true;
-    clearTimeout(this._timer);
+    clearTimeout(this._pollTimer);
   }
 
   /** Folds the log up to an offset, or to its end. */
@@ -155,19 +155,19 @@
   }
 
   /** What a peer lacks from an offset on: records while they are kept, else a snapshot. */
-  since(next: number): { next: number; records: KeptRecord[]; snapshot: string } {
-    const records = this._kept.filter((record) => record.offset >= next);
+  changesSince(next: number): { next: number; records: CachedRecord[]; snapshot: string } {
+    const records = this._cachedRecords.filter((record) => record.offset >= next);
     const complete = next >= this.fold.next || records[0]?.offset === next;
-    const snapshot = complete ? '' : JSON.stringify(this.fold.snapshot(textDigest));
+    const snapshot = complete ? '' : JSON.stringify(this.fold.snapshot(hexDigest));
     return { next: this.fold.next, records: complete ? records : [], snapshot };
   }
 
   private async _followLoop(): Promise<void> {
     while (!this._stopped) {
-      const end = this.isReader ? await this._tail.follow(kFollowMs) : undefined;
-      if (end?.kind !== 'read') {
+      const result = this.isReader ? await this._tail.follow(kFollowWaitMs) : undefined;
+      if (result?.kind !== 'read') {
         await this._wait(kRetryMs);
-      } else if (this._snapshotDue()) {
+      } else if (this._isSnapshotPending()) {
         await runProcedure(refreshSnapshot(), { readConfig: ({ upTo }) => this.read(upTo), appendSnapshot: () => this._appendSnapshot() });
       }
     }
@@ -175,34 +175,34 @@
 
   /** Appends a snapshot. */
   private async _appendSnapshot(): Promise<AppendResult> {
-    const end = await this._log.append(kSnapshotStream, this.fold.snapshot(textDigest));
-    if (end.kind === 'appended') {
+    const result = await this._log.append(kSnapshotStream, this.fold.snapshot(hexDigest));
+    if (result.kind === 'appended') {
       this._snapshotOffset = this.fold.next;
       this._snapshotAt = Date.now();
       this._logger.info('config', 'Appended a snapshot.', { version: this.fold.version, offset: this.fold.next });
     }
-    return end;
+    return result;
   }
 
-  private _snapshotDue(): boolean {
-    const first = this._rank(() => true) === 0;
+  private _isSnapshotPending(): boolean {
+    const isFirst = this._rank(() => true) === 0;
     const records = this.fold.next - this._snapshotOffset;
-    const old = Date.now() - this._snapshotAt >= kSnapshotMs;
-    return first && this.fold.version > 0 && (records >= kSnapshotRecords || old);
+    const isOld = Date.now() - this._snapshotAt >= kMaxSnapshotAgeMs;
+    return isFirst && this.fold.version > 0 && (records >= kRecordsPerSnapshot || isOld);
   }
 
-  private _scheduleLook(): void {
-    const crowd = (this._view.all().length / kLooksPerSecond) * 1_000;
+  private _schedulePoll(): void {
+    const sharedPeriodMs = (this._view.all().length / kMaxPollsPerSecond) * 1_000;
     const jitter = 0.8 + Math.random() * 0.4;
-    this._timer = setTimeout(
+    this._pollTimer = setTimeout(
       () => {
         void this.read().finally(() => {
           if (!this._stopped) {
-            this._scheduleLook();
+            this._schedulePoll();
           }
         });
       },
-      Math.max(kLookMs, crowd) * jitter,
+      Math.max(kMinPollPeriodMs, sharedPeriodMs) * jitter,
     );
   }
 
@@ -211,31 +211,31 @@
       return;
     }
     const changed = this.fold.apply(offset, value);
-    this._kept.push({ offset, value });
-    this._kept = this._kept.slice(-kKeptRecords);
+    this._cachedRecords.push({ offset, value });
+    this._cachedRecords = this._cachedRecords.slice(-kMaxCachedRecords);
     if (changed) {
-      this._announce();
+      this._notifyVersion();
     }
   }
 
   private _adopt(value: unknown): void {
-    if (this.fold.adopt(value, textDigest)) {
-      this._announce();
+    if (this.fold.adopt(value, hexDigest)) {
+      this._notifyVersion();
     }
-    this._kept = this._kept.filter((record) => record.offset >= this.fold.next);
+    this._cachedRecords = this._cachedRecords.filter((record) => record.offset >= this.fold.next);
   }
 
-  private _announce(): void {
+  private _notifyVersion(): void {
     this._logger.info('config', `Version ${this.fold.version} is in force.`, { version: this.fold.version });
     this._onVersion(this.fold.config);
   }
 
   /** Place of this daemon among the living ones of a group, in an order that all compute alike. */
-  private _rank(member: (of: { zone: string }) => boolean): number {
+  private _rank(isInGroup: (of: { zone: string }) => boolean): number {
     const { self } = this._view;
-    const own = spreadHash(self.id);
-    const ahead = this._view.all().filter((other) => other.id !== self.id && other.state === 'alive' && member(other));
-    return ahead.filter((other) => spreadHash(other.id) < own).length;
+    const selfHash = hash32(self.id);
+    const others = this._view.all().filter((other) => other.id !== self.id && other.state === 'alive' && isInGroup(other));
+    return others.filter((other) => hash32(other.id) < selfHash).length;
   }
 
   private _wait(ms: number): Promise<void> {
--- a/packages/daemon/src/app/daemon.ts
+++ b/packages/daemon/src/app/daemon.ts
@@ -39,10 +39,10 @@
 import { ControlMeter } from './controlMeter.js';
 
 const kPeerConnections = 128;
-const kTickMs = 500;
+const kTickPeriodMs = 500;
 const kColdStartRounds = 3;
-const kAskedPeers = 3;
-const kMemberRefreshMs = 600_000;
+const kQueriedPeers = 3;
+const kMemberRefreshPeriodMs = 600_000;
 /** How often a planned stop looks whether what it waits for is over, in milliseconds. */
 const kStopPollMs = 20;
 
@@ -61,7 +61,7 @@
   readonly meter: ControlMeter;
   readonly suspects: SuspectService;
   /** Offers of other daemons, by the connections that they came over. */
-  readonly taken = new AcceptedOffers<Socket>();
+  readonly acceptedOffers = new AcceptedOffers<Socket>();
   readonly incarnation: number;
   private readonly _pools = new Pools(kPeerConnections);
   private readonly _logPools = new Pools(4);
@@ -84,7 +84,7 @@
     this._log = new LogClient(settings.log, this._logPools);
     this.meter = new ControlMeter(this._log.traffic);
     this._picker = new TargetPicker(settings.zone, settings.region, Math.random);
-    const view = new MemberView(this._ownRecord(address), Math.random, monotonicMs());
+    const view = new MemberView(this._initialRecord(address), Math.random, monotonicMs());
     this.members = new MemberService(view, this._peers, this._memberEvents(), this.logger, this._openOffers);
     this.config = new ConfigService(this._log, this._peers, view, this.logger, (cfg) => {
       this._configure(cfg);
@@ -130,14 +130,14 @@
       pools: this._pools,
       offers: this.offers,
       openOffers: this._openOffers,
-      neverTook: (to, attempt) => this.members.neverTook(to.daemon, to.incarnation, attempt),
+      neverAccepted: (to, attempt) => this.members.neverAccepted(to.daemon, to.incarnation, attempt),
       daemon: { id: settings.id, incarnation: this.incarnation, address },
       stopping: () => this._stopping,
       candidates: (service) => this._candidates.get(service) ?? [],
-      unreachable: ({ daemon }) => {
-        this.members.doubt(daemon);
+      onUnreachable: ({ daemon }) => {
+        this.members.suspectUnreachable(daemon);
       },
-      absent: (service) => this._absent(service),
+      unavailableTargets: (service) => this._unavailableTargets(service),
       suspects: this.suspects.suspects,
       addressOf: (id) => this.members.view.get(id)?.address,
       picker: this._picker,
@@ -151,7 +151,7 @@
     };
   }
 
-  private _absent(service: string): number {
+  private _unavailableTargets(service: string): number {
     return this.members.view.all().filter((member) => member.service === service && member.targetState === 'absent').length;
   }
 
@@ -164,7 +164,7 @@
         this._refreshCandidates();
       },
       onPause: (ms) => {
-        this._resumed(ms);
+        this._onResume(ms);
       },
     };
   }
@@ -186,21 +186,21 @@
       readSnapshots: () => this.config.readSnapshots(),
       readConfig: ({ upTo }) => this.config.read(upTo),
       appendMember: () => this._appendMember(false),
-      queryPeers: () => this._askPeers(),
+      queryPeers: () => this._queryPeers(),
       sleep: ({ ms }) => pause(ms),
     });
     this.logger.info('start', `Started with configuration version ${version} from ${source}.`, { version, source });
     this.config.start();
-    void this.suspects.ask();
+    void this.suspects.fetchFromPeers();
     this._timers = [
       setInterval(() => {
         this._tick();
-      }, kTickMs),
+      }, kTickPeriodMs),
       setInterval(
         () => {
           void this._appendMember(false);
         },
-        kMemberRefreshMs * (0.8 + Math.random() * 0.4),
+        kMemberRefreshPeriodMs * (0.8 + Math.random() * 0.4),
       ),
     ];
   }
@@ -219,13 +219,13 @@
         closeGate: () => this.target.gate?.close('stopping'),
         announceLeft: () => {
           const now = monotonicMs();
-          this.members.view.update({ state: 'left', leaveProof: this.taken.leaveProof(now) }, now);
+          this.members.view.update({ state: 'left', leaveProof: this.acceptedOffers.leaveProof(now) }, now);
         },
         limitMs: this.settings.limits.stopMs,
       }),
       {
         notifyPeers: async () => {
-          await this.members.spreadLeave();
+          await this.members.sendLeave();
           return undefined;
         },
         sleep: ({ ms }) => pause(ms),
@@ -250,7 +250,7 @@
     await Promise.all([this._pools.destroy(), this._logPools.destroy()]);
   }
 
-  private _ownRecord(address: string): Member {
+  private _initialRecord(address: string): Member {
     const { id, zone, region } = this.settings;
     return {
       id,
@@ -274,7 +274,7 @@
     this.target.setIntake((name !== undefined ? cfg.targets[name] : undefined) ?? 'serving');
     this._refreshCandidates();
     this.members.view.setConfigVersion(this.settings.id, this.config.fold.version);
-    void this.members.spread();
+    void this.members.sendUpdate();
   }
 
   private _announceTarget(): void {
@@ -296,7 +296,7 @@
     this.members.view.update(change, monotonicMs());
     if (this.members.view.self.revision !== before) {
       this._refreshCandidates();
-      void this.members.spread();
+      void this.members.sendUpdate();
     }
   }
 
@@ -304,7 +304,7 @@
     const { targets } = this.config.fold.config;
     const candidates = new Map<string, Candidate[]>();
     for (const member of this.members.view.all()) {
-      const usable = member.state === 'alive' && takesWork(member.targetState) && targets[member.target] !== 'leaving';
+      const usable = member.state === 'alive' && acceptsRequests(member.targetState) && targets[member.target] !== 'leaving';
       if (usable) {
         const { target, id: daemon, incarnation, address, service, zone, region, slots } = member;
         const list = candidates.get(service) ?? [];
@@ -322,10 +322,10 @@
     this._picker.retain(candidates);
     const inUse = candidates.map(({ address }) => `http://${address}`);
     this._pools.retain(new Set([...inUse, this.target.announcement?.url ?? '']));
-    this._gauges();
+    this._reportGauges();
   }
 
-  private _gauges(): void {
+  private _reportGauges(): void {
     const { gate } = this.target;
     const { metrics } = this;
     metrics.gauge('config.version', this.config.fold.version);
@@ -349,25 +349,25 @@
   }
 
   /** After a pause: the log may have gone on, and what others think of this daemon may be wrong. */
-  private _resumed(ms: number): void {
+  private _onResume(ms: number): void {
     this.logger.warn('members', `The process was paused for about ${Math.round(ms)} ms.`, { ms });
     void this.config.read();
-    void this.members.spread();
+    void this.members.sendUpdate();
   }
 
-  private async _askPeers(): Promise<{ answered: number }> {
+  private async _queryPeers(): Promise<{ answered: number }> {
     await this._readMembers();
-    const known = this.members.view.sampleAlive(kAskedPeers).map((member) => member.address);
-    const asked = [...new Set([...known, ...this.settings.seeds])].filter((address) => address !== this.members.view.self.address);
-    const answers = await Promise.all(
-      asked.map(async (address) => {
+    const known = this.members.view.sampleAlive(kQueriedPeers).map((member) => member.address);
+    const queried = [...new Set([...known, ...this.settings.seeds])].filter((address) => address !== this.members.view.self.address);
+    const responses = await Promise.all(
+      queried.map(async (address) => {
         const members = await this._peers.fetchMembers(address);
-        this.members.learn(members ?? []);
+        this.members.mergeRecords(members ?? []);
         return members !== undefined && (await this.config.fetchFrom(address));
       }),
     );
-    await this.members.spread();
-    return { answered: answers.filter(Boolean).length };
+    await this.members.sendUpdate();
+    return { answered: responses.filter(Boolean).length };
   }
 
   private async _readMembers(): Promise<void> {
@@ -377,7 +377,7 @@
       if (!page) {
         return;
       }
-      this.members.learn(page.records.flatMap(({ value }) => this._memberFrom(value)));
+      this.members.mergeRecords(page.records.flatMap(({ value }) => this._memberFrom(value)));
       if (page.records.length === 0) {
         return;
       }
@@ -391,7 +391,7 @@
       return [];
     }
     const { goodbye, ...record } = parsed.data;
-    return [{ ...this._ownRecord(record.address), ...record, revision: 0, state: goodbye === true ? 'left' : 'alive' }];
+    return [{ ...this._initialRecord(record.address), ...record, revision: 0, state: goodbye === true ? 'left' : 'alive' }];
   }
 
   private _appendMember(goodbye: boolean): ReturnType<LogClient['append']> {
@@ -407,14 +407,14 @@
   }
 
   private async _awaitSenders(until: number): Promise<{ senders: number }> {
-    while (this.taken.senders.length > 0 && monotonicMs() < until) {
-      const released = await this.members.askForRelease(this.taken.senders);
+    while (this.acceptedOffers.senders.length > 0 && monotonicMs() < until) {
+      const released = await this.members.requestRelease(this.acceptedOffers.senders);
       released.forEach((id) => {
-        this.taken.released(id);
+        this.acceptedOffers.released(id);
       });
       await pause(kStopPollMs);
     }
-    const { senders } = this.taken;
+    const { senders } = this.acceptedOffers;
     if (senders.length > 0) {
       this.logger.warn('stop', `${senders.length} daemons have not said that they have no open offers here.`, { senders });
     }
@@ -422,7 +422,7 @@
   }
 }
 
-function takesWork(state: TargetState): boolean {
+function acceptsRequests(state: TargetState): boolean {
   return state === 'serving';
 }
 
--- a/packages/daemon/src/app/decisionLog.ts
+++ b/packages/daemon/src/app/decisionLog.ts
@@ -10,7 +10,7 @@
 import type { Metrics } from './metrics.js';
 
 const kMaxRequests = 2_000;
-const kMaxPerRequest = 64;
+const kMaxDecisionsPerRequest = 64;
 
 /** One decision as it is kept and told. */
 export interface LoggedDecision {
@@ -43,18 +43,18 @@
       this._logger.info(part, textOf(decision), { ...decision });
     }
     this._metrics.count('decision', { step, reason, class: cls, target: target ?? 'none' });
-    this._keep({ ...decision, at: wallMs() });
+    this._store({ ...decision, at: wallMs() });
   }
 
   /** The kept decisions of a request. */
-  of(request: string): LoggedDecision[] {
+  forRequest(request: string): LoggedDecision[] {
     return this._requests.get(request) ?? [];
   }
 
-  private _keep(decision: LoggedDecision): void {
+  private _store(decision: LoggedDecision): void {
     const known = this._requests.get(decision.request);
     if (known) {
-      if (known.length < kMaxPerRequest) {
+      if (known.length < kMaxDecisionsPerRequest) {
         known.push(decision);
       }
       return;
--- a/packages/daemon/src/app/digests.ts
+++ b/packages/daemon/src/app/digests.ts
@@ -22,21 +22,21 @@
 }
 
 /** Digest of one text, whole, as hex. */
-export function textDigest(text: string): string {
+export function hexDigest(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
 /** 32-bit hash for spreading. */
-export function spreadHash(text: string): number {
+export function hash32(text: string): number {
   return kXxhash.h32(text);
 }
 
 /** 64-bit hash of bytes, as text. */
-export function spreadHashOf(bytes: Uint8Array): string {
+export function hashBytes64(bytes: Uint8Array): string {
   return bytes.byteLength === 0 ? '' : kXxhash.h64Raw(bytes).toString(36);
 }
 
 /** 64-bit hash of a text, as text. */
-export function wideHash(text: string): string {
+export function hash64(text: string): string {
   return kXxhash.h64(text).toString(36);
 }
--- a/packages/daemon/src/app/ids.ts
+++ b/packages/daemon/src/app/idGenerator.ts
@@ -6,7 +6,7 @@
 /** Ids of requests and attempts: unique without agreement, and telling which daemon gave them. */
 
 /** Gives ids for one run of a daemon. */
-export class Ids {
+export class IdGenerator {
   private _sequence = 0;
   private readonly _prefix: string;
 
--- a/packages/daemon/src/app/keyText.ts
+++ b/packages/daemon/src/app/idempotencyKey.ts
@@ -7,25 +7,25 @@
 
 const kMaxLength = 255;
 /** Numbered keys of a minted namespace look like `daemon.incarnation.number/sequence`. */
-const kMinted = /^"?((?<owner>[a-z0-9][a-z0-9._-]*)\.(?<incarnation>[0-9a-z]+)\.[0-9a-z]+)\/(?<sequence>\d{1,9})"?$/;
-const kPrintable = /^[\x20-\x7e]+$/;
+const kMintedKey = /^"?((?<owner>[a-z0-9][a-z0-9._-]*)\.(?<incarnation>[0-9a-z]+)\.[0-9a-z]+)\/(?<sequence>\d{1,9})"?$/;
+const kPrintableAscii = /^[\x20-\x7e]+$/;
 
 /** What a key's text says. */
-export type KeyText =
+export type ParsedKey =
   | { kind: 'none' }
   | { kind: 'bad' }
   | { kind: 'own'; text: string }
   | { kind: 'minted'; namespace: string; owner: string; incarnation: number; sequence: number };
 
 /** Reads the text of a key. */
-export function parseKey(text: string | undefined): KeyText {
+export function parseIdempotencyKey(text: string | undefined): ParsedKey {
   if (text === undefined) {
     return { kind: 'none' };
   }
-  if (text === '' || text.length > kMaxLength || !kPrintable.test(text)) {
+  if (text === '' || text.length > kMaxLength || !kPrintableAscii.test(text)) {
     return { kind: 'bad' };
   }
-  const minted = kMinted.exec(text);
+  const minted = kMintedKey.exec(text);
   const { owner, incarnation, sequence } = minted?.groups ?? {};
   if (minted?.[1] === undefined || owner === undefined || incarnation === undefined || sequence === undefined) {
     return { kind: 'own', text };
--- a/packages/daemon/src/app/loadSettings.ts
+++ b/packages/daemon/src/app/loadSettings.ts
@@ -11,7 +11,7 @@
 import { parse } from 'yaml';
 
 /** One fault of a settings file. */
-export interface SettingsFault {
+export interface SettingsError {
   /** Dotted path of the setting; empty for the file as a whole. */
   path: string;
   /** What was expected. */
@@ -21,7 +21,7 @@
 }
 
 /** Reads a settings file; gives all its faults at once if there are any. */
-export function loadSettings(file: string): Result<Settings, SettingsFault[]> {
+export function loadSettings(file: string): Result<Settings, SettingsError[]> {
   let value: unknown;
   try {
     value = parse(readFileSync(file, 'utf8'));
@@ -42,9 +42,9 @@
 }
 
 /** Text of a fault for people. */
-export function faultText(fault: SettingsFault): string {
-  const place = fault.path === '' ? 'file' : fault.path;
-  return `${place}: ${fault.expected}; got ${fault.got}`;
+export function formatSettingsError(error: SettingsError): string {
+  const location = error.path === '' ? 'file' : error.path;
+  return `${location}: ${error.expected}; got ${error.got}`;
 }
 
 function textOf(value: unknown): string {
--- a/packages/daemon/src/app/localTarget.ts
+++ b/packages/daemon/src/app/localTarget.ts
@@ -10,7 +10,7 @@
 import type { Logger } from './logger.js';
 
 /** What the target's state follows from. */
-interface Words {
+interface StateInputs {
   /** The target's own word. */
   accepting: boolean;
   /** The operator's word. */
@@ -23,13 +23,13 @@
   private _announcement: Announcement | undefined;
   private _announcedAt = -Infinity;
   private _gate: Gate<GateCall> | undefined;
-  private readonly _words: Words = { accepting: true, intake: 'serving', stopping: false };
+  private readonly _inputs: StateInputs = { accepting: true, intake: 'serving', stopping: false };
   private _state: TargetState = 'absent';
 
   constructor(
     private readonly _favour: () => 'goodput' | 'recovery',
     private readonly _gateEvents: GateEvents<GateCall>,
-    private readonly _onState: () => void,
+    private readonly _onStateChange: () => void,
     private readonly _logger: Logger,
     private readonly _timeoutMs: number,
   ) {}
@@ -52,8 +52,8 @@
   /** Takes an announcement. A target that comes back after silence, or under another name, is cold. */
   announce(announcement: Announcement): void {
     const now = monotonicMs();
-    const known = this._announcement;
-    const same = known?.target === announcement.target && known.service === announcement.service && known.url === announcement.url;
+    const previous = this._announcement;
+    const same = previous?.target === announcement.target && previous.service === announcement.service && previous.url === announcement.url;
     if (!same || !this._gate) {
       this._gate?.close('no_target');
       this._gate = new Gate(announcement.slots, this._favour, this._gateEvents, now);
@@ -63,47 +63,47 @@
     this._announcement = announcement;
     this._announcedAt = now;
     this._gate.announce(announcement.slots);
-    this._words.accepting = announcement.accepting;
-    this._settle();
-    if (!same || known.slots !== announcement.slots) {
-      this._onState();
+    this._inputs.accepting = announcement.accepting;
+    this._updateState();
+    if (!same || previous.slots !== announcement.slots) {
+      this._onStateChange();
     }
   }
 
   /** Takes the operator's word. */
   setIntake(intake: TargetIntake): void {
-    this._words.intake = intake;
-    this._settle();
+    this._inputs.intake = intake;
+    this._updateState();
   }
 
   /** The daemon stops: nothing new is taken from now on. */
   stop(): void {
-    this._words.stopping = true;
-    this._settle();
+    this._inputs.stopping = true;
+    this._updateState();
   }
 
   /** Notices when announcements stop. */
   tick(): void {
-    this._settle();
+    this._updateState();
   }
 
-  private _settle(): void {
-    const state = this._stateNow();
+  private _updateState(): void {
+    const state = this._computeState();
     if (state === this._state) {
       return;
     }
     const before = this._state;
     this._state = state;
     this._applyToGate(state);
-    this._logger.info('target', `${this._announcement?.target ?? 'target'} goes from ${before} to ${state}.`, { ...this._words, state });
-    this._onState();
+    this._logger.info('target', `${this._announcement?.target ?? 'target'} goes from ${before} to ${state}.`, { ...this._inputs, state });
+    this._onStateChange();
   }
 
-  private _stateNow(): TargetState {
+  private _computeState(): TargetState {
     if (!this._announcement || monotonicMs() - this._announcedAt > this._timeoutMs) {
       return 'absent';
     }
-    const { accepting, intake, stopping } = this._words;
+    const { accepting, intake, stopping } = this._inputs;
     return stopping || !accepting || intake === 'leaving' ? 'leaving' : 'serving';
   }
 
@@ -113,7 +113,7 @@
         this._gate?.reopen();
         return;
       case 'leaving':
-        this._gate?.close(this._words.stopping ? 'stopping' : 'target_leaving');
+        this._gate?.close(this._inputs.stopping ? 'stopping' : 'target_leaving');
         return;
       case 'absent':
         this._gate?.close('no_target');
--- a/packages/daemon/src/app/memberService.ts
+++ b/packages/daemon/src/app/memberService.ts
@@ -10,18 +10,18 @@
 import type { Logger } from './logger.js';
 import type { OpenOffers } from './openOffers.js';
 
-const kPeriodMs = 1_000;
+const kPingPeriodMs = 1_000;
 /** A period that took this long means that the process was paused. */
-const kPauseMs = 2_500;
-const kSpread = 3;
+const kPauseThresholdMs = 2_500;
+const kUpdateFanout = 3;
 /** Periods after which the whole view of another daemon is fetched, against whatever pings did not carry. */
-const kFetchPeriods = 60;
+const kPeriodsPerFetch = 60;
 /** Pause before others are asked again for the record of a daemon that ended, in milliseconds. */
-const kAskAgainMs = 1_000;
+const kRecordQueryPeriodMs = 1_000;
 /** Times that a daemon which leaves tries to reach those who keep its last record; a ping waits half a second at most. */
-const kLeaveTries = 3;
+const kMaxLeaveRounds = 3;
 /** Keepers of it that may be left untold: one that stands still would hold up the stop. */
-const kUntoldKeepers = 1;
+const kMaxUnnotifiedHolders = 1;
 
 /** What others do with membership news. */
 export interface MemberEvents {
@@ -37,10 +37,10 @@
 export class MemberService {
   private _timer: NodeJS.Timeout | undefined;
   private _lastTick = monotonicMs();
-  private _announced = -1;
-  private _periods = Math.floor(Math.random() * kFetchPeriods);
+  private _notifiedChangeCount = -1;
+  private _periods = Math.floor(Math.random() * kPeriodsPerFetch);
   /** Latest questions for the records of others, by their ids. */
-  private readonly _asked = new Map<string, { at: number; done: Promise<void> }>();
+  private readonly _recordQueries = new Map<string, { at: number; done: Promise<void> }>();
 
   constructor(
     readonly view: MemberView,
@@ -55,7 +55,7 @@
     this._lastTick = monotonicMs();
     this._timer = setInterval(() => {
       this._tick();
-    }, kPeriodMs);
+    }, kPingPeriodMs);
   }
 
   /** Stops to ping. */
@@ -64,18 +64,18 @@
   }
 
   /** Answers a ping. */
-  pinged(from: string, configVersion: number, changes: Member[]): Pong {
+  onPing(from: string, configVersion: number, changes: Member[]): Pong {
     this._merge(changes);
     const now = monotonicMs();
     this.view.markAlive(from, now);
     this._compareConfig(from, configVersion);
     this._notify();
     const { self } = this.view;
-    return { configVersion: self.configVersion, changes: [self, ...this.view.takeChanges()], openOffers: this._openOffers.at(from) };
+    return { configVersion: self.configVersion, changes: [self, ...this.view.takeChanges()], openOffers: this._openOffers.countFor(from) };
   }
 
   /** A call could not connect to a daemon: it is suspected at once, and pinged. */
-  doubt(id: string): void {
+  suspectUnreachable(id: string): void {
     const member = this.view.get(id);
     if (member?.state === 'alive') {
       this.view.suspect(id, monotonicMs());
@@ -85,22 +85,22 @@
   }
 
   /** Takes records that came otherwise, such as from a seed. */
-  learn(members: Member[]): void {
+  mergeRecords(members: Member[]): void {
     this._merge(members, false);
     this._notify();
   }
 
   /** Tells some others at once of what changed. */
-  async spread(): Promise<void> {
-    await this._tell([...this.view.sampleAlive(kSpread, this.view.self.zone), ...this.view.sampleAlive(1)]);
+  async sendUpdate(): Promise<void> {
+    await this._pingAll([...this.view.sampleAlive(kUpdateFanout, this.view.self.zone), ...this.view.sampleAlive(1)]);
   }
 
   /** Tells the same of a leave, and again to those who keep the last record until nearly all know it. */
-  async spreadLeave(): Promise<void> {
-    const [, first] = await Promise.all([this.spread(), this._tell(this.view.recordHoldersOf(this.view.self.id))]);
-    let untold = first;
-    for (let tries = 1; untold.length > kUntoldKeepers && tries < kLeaveTries; tries++) {
-      untold = await this._tell(untold);
+  async sendLeave(): Promise<void> {
+    const [, unnotifiedHolders] = await Promise.all([this.sendUpdate(), this._pingAll(this.view.recordHoldersOf(this.view.self.id))]);
+    let unnotified = unnotifiedHolders;
+    for (let rounds = 1; unnotified.length > kMaxUnnotifiedHolders && rounds < kMaxLeaveRounds; rounds++) {
+      unnotified = await this._pingAll(unnotified);
     }
   }
 
@@ -108,11 +108,11 @@
    * Whether a daemon left and proved that it never took an attempt. When its record isn't known here, as may be after a pause of this
    * process, others are asked for it.
    */
-  async neverTook(id: string, incarnation: number, attempt: string): Promise<boolean> {
+  async neverAccepted(id: string, incarnation: number, attempt: string): Promise<boolean> {
     if (provesNeverTaken(this.view.get(id), incarnation, attempt)) {
       return true;
     }
-    await this._askForRecord(id);
+    await this._queryRecord(id);
     return provesNeverTaken(this.view.get(id), incarnation, attempt);
   }
 
@@ -122,7 +122,7 @@
   }
 
   /** Tells daemons that this one leaves; returns those that know it, and have no open offers here. */
-  async askForRelease(senders: readonly string[]): Promise<string[]> {
+  async requestRelease(senders: readonly string[]): Promise<string[]> {
     const members = senders.flatMap((id) => this.view.get(id) ?? []);
     const pongs = await Promise.all(members.map((member) => this._ping(member)));
     return members.filter((_, at) => pongs[at]?.openOffers === 0).map(({ id }) => id);
@@ -130,8 +130,8 @@
 
   private async _ping(member: Member): Promise<Pong | undefined> {
     const { self } = this.view;
-    const rumour = member.state === 'alive' ? [] : [member];
-    const changes = [self, ...rumour, ...this.view.takeChanges()];
+    const refutable = member.state === 'alive' ? [] : [member];
+    const changes = [self, ...refutable, ...this.view.takeChanges()];
     const pong = await this._peers.ping(member.address, { from: self.id, to: member.id, configVersion: self.configVersion, changes });
     const now = monotonicMs();
     if (!pong) {
@@ -150,7 +150,7 @@
     const now = monotonicMs();
     const elapsed = now - this._lastTick;
     this._lastTick = now;
-    if (elapsed > kPauseMs) {
+    if (elapsed > kPauseThresholdMs) {
       this.view.restartSuspicionTimers(now);
       this._events.onPause(elapsed);
     }
@@ -161,49 +161,49 @@
       void this.ping(next);
     }
     this._periods++;
-    if (this._periods % kFetchPeriods === 0) {
+    if (this._periods % kPeriodsPerFetch === 0) {
       void this._fetchView();
     }
   }
 
   /** At most one question a second for each daemon: when one crashes, many offers are lost at once. */
-  private _askForRecord(id: string): Promise<void> {
+  private _queryRecord(id: string): Promise<void> {
     const now = monotonicMs();
-    for (const [other, { at }] of this._asked) {
-      if (now - at > kAskAgainMs) {
-        this._asked.delete(other);
+    for (const [other, { at }] of this._recordQueries) {
+      if (now - at > kRecordQueryPeriodMs) {
+        this._recordQueries.delete(other);
       }
     }
-    let asked = this._asked.get(id);
-    if (!asked) {
-      asked = { at: now, done: this._fetchRecords(id) };
-      this._asked.set(id, asked);
+    let query = this._recordQueries.get(id);
+    if (!query) {
+      query = { at: now, done: this._fetchRecords(id) };
+      this._recordQueries.set(id, query);
     }
-    return asked.done;
+    return query.done;
   }
 
   private async _fetchRecords(id: string): Promise<void> {
     const views = await Promise.all(this.view.recordHoldersOf(id).map(({ address }) => this._peers.fetchMembers(address)));
-    this.learn(views.flatMap((members) => members ?? []));
+    this.mergeRecords(views.flatMap((members) => members ?? []));
   }
 
   /** Pings daemons; returns those that did not answer. */
-  private async _tell(members: readonly Member[]): Promise<Member[]> {
-    const told = await Promise.all(members.map((member) => this.ping(member)));
-    return members.filter((_, at) => told[at] !== true);
+  private async _pingAll(members: readonly Member[]): Promise<Member[]> {
+    const responded = await Promise.all(members.map((member) => this.ping(member)));
+    return members.filter((_, at) => responded[at] !== true);
   }
 
   private async _fetchView(): Promise<void> {
     const [other] = this.view.sampleAlive(1);
     const members = other && (await this._peers.fetchMembers(other.address));
-    this.learn(members ?? []);
+    this.mergeRecords(members ?? []);
   }
 
-  private _merge(members: Member[], passOn = true): void {
+  private _merge(members: Member[], retransmit = true): void {
     const now = monotonicMs();
     for (const member of members) {
       const before = this.view.get(member.id);
-      if (this.view.merge(member, now, passOn) && before?.state !== member.state) {
+      if (this.view.merge(member, now, retransmit) && before?.state !== member.state) {
         this._logger.info('members', `${member.id} is ${member.state}`, { member: member.id, zone: member.zone, state: member.state });
       }
     }
@@ -217,8 +217,8 @@
   }
 
   private _notify(): void {
-    if (this._announced !== this.view.changeCount) {
-      this._announced = this.view.changeCount;
+    if (this._notifiedChangeCount !== this.view.changeCount) {
+      this._notifiedChangeCount = this.view.changeCount;
       this._events.onChange();
     }
   }
--- a/packages/daemon/src/app/metrics.ts
+++ b/packages/daemon/src/app/metrics.ts
@@ -27,8 +27,8 @@
   }
 
   /** Counts an event. */
-  count(name: string, tags: Record<string, string> = {}, by = 1): void {
-    this._statsd.increment(name, by, kSampleRate, tags);
+  count(name: string, tags: Record<string, string> = {}, increment = 1): void {
+    this._statsd.increment(name, increment, kSampleRate, tags);
   }
 
   /** Sets a level. */
--- a/packages/daemon/src/app/offerService.ts
+++ b/packages/daemon/src/app/offerService.ts
@@ -32,7 +32,7 @@
 import type { SuspectOffers } from './suspectOffers.js';
 
 /** Attempts remembered, so that a second delivery of one is noticed. */
-const kSeenAttempts = 20_000;
+const kMaxSeenAttempts = 20_000;
 
 interface Forwarding {
   cancel: () => void;
@@ -54,15 +54,15 @@
 
 /** Gate side of one daemon. */
 export class OfferService implements GateEvents<GateCall> {
-  private readonly _waiting = new Map<string, (end: AdmissionResult) => void>();
+  private readonly _pendingAdmissions = new Map<string, (result: AdmissionResult) => void>();
   private readonly _forwarding = new Map<string, Forwarding>();
   private readonly _terms = new Map<string, OfferTerms>();
   private readonly _seen = new Set<string>();
-  private readonly _below: RootFilter;
-  private _bytes = 0;
+  private readonly _downstream: RootFilter;
+  private _bodyBytes = 0;
 
   constructor(private readonly _deps: OfferDeps) {
-    this._below = new RootFilter(_deps.favour, kGateReopenPolicy);
+    this._downstream = new RootFilter(_deps.favour, kGateReopenPolicy);
   }
 
   /** Offers that are being handled. */
@@ -71,11 +71,11 @@
   }
 
   onStart(call: GateCall): void {
-    this._admit(call.id, { kind: 'started' });
+    this._resolveAdmission(call.id, { kind: 'started' });
   }
 
   onShed(call: GateCall, reason: ErrorKind): void {
-    this._admit(call.id, { kind: 'shed', reason });
+    this._resolveAdmission(call.id, { kind: 'shed', reason });
   }
 
   /** Takes an offer through the gate. */
@@ -86,12 +86,12 @@
       gate: local.gate,
       target: local.announcement?.target ?? '',
       ledger,
-      downstream: this._below,
+      downstream: this._downstream,
       seenAttempts: { add: (attempt: string) => this._markSeen(attempt) },
       logDecision: decisions.add.bind(decisions),
     };
     const size = payload.body.byteLength;
-    if (this._bytes + size > this._deps.inFlightBytes) {
+    if (this._bodyBytes + size > this._deps.inFlightBytes) {
       decisions.add({
         request: terms.request,
         attempt: terms.attempt,
@@ -101,23 +101,23 @@
       });
       return { kind: 'refused', reason: 'overloaded', unspent: terms.allowance, level: kOpenReport };
     }
-    this._bytes += size;
+    this._bodyBytes += size;
     this._terms.set(terms.attempt, terms);
     try {
       const refusal = await suspects.enter(terms, payload);
       if (refusal) {
         decisions.add({ request: terms.request, attempt: terms.attempt, step: 'gate', cls: terms.className, reason: refusal });
         return withSuspicion({ kind: 'refused', reason: refusal, unspent: terms.allowance, level: kOpenReport }, () =>
-          suspects.known(terms, payload),
+          suspects.suspicionOf(terms, payload),
         );
       }
-      const end = await runProcedure(gateCall(terms, payload, ctx), {
+      const result = await runProcedure(gateCall(terms, payload, ctx), {
         awaitAdmission: ({ attempt }) => this._awaitAdmission(attempt),
         forward: ({ attempt, payload: sent, deadline }) => this._forward(attempt, sent, deadline),
       });
-      return withSuspicion(end, () => suspects.known(terms, payload));
+      return withSuspicion(result, () => suspects.suspicionOf(terms, payload));
     } finally {
-      this._bytes -= size;
+      this._bodyBytes -= size;
       this._terms.delete(terms.attempt);
       suspects.leave(terms.attempt);
     }
@@ -127,7 +127,7 @@
   cancel(attempt: string): 'before_start' | 'started' {
     const { gate } = this._deps.target();
     if (gate?.cancel(attempt)) {
-      this._admit(attempt, { kind: 'cancelled' });
+      this._resolveAdmission(attempt, { kind: 'cancelled' });
       return 'before_start';
     }
     if (this._markSeen(attempt)) {
@@ -144,7 +144,7 @@
     }
     this._seen.add(attempt);
     const oldest = this._seen.keys().next();
-    if (this._seen.size > kSeenAttempts && !oldest.done) {
+    if (this._seen.size > kMaxSeenAttempts && !oldest.done) {
       this._seen.delete(oldest.value);
     }
     return true;
@@ -152,14 +152,14 @@
 
   private _awaitAdmission(attempt: string): Promise<AdmissionResult> {
     return new Promise((resolve) => {
-      this._waiting.set(attempt, resolve);
+      this._pendingAdmissions.set(attempt, resolve);
     });
   }
 
-  private _admit(attempt: string, end: AdmissionResult): void {
-    const resolve = this._waiting.get(attempt);
-    this._waiting.delete(attempt);
-    resolve?.(end);
+  private _resolveAdmission(attempt: string, result: AdmissionResult): void {
+    const resolve = this._pendingAdmissions.get(attempt);
+    this._pendingAdmissions.delete(attempt);
+    resolve?.(result);
   }
 
   private _forward(attempt: string, payload: Payload, deadline: number): Promise<ForwardResult> {
@@ -173,15 +173,15 @@
     this._deps.suspects.started(attempt);
     const pool = this._deps.pools.to(announcement.url, announcement.connections);
     return new Promise((resolve) => {
-      let asked: 'timeout' | 'cancelled' | undefined;
+      let abortReason: 'timeout' | 'cancelled' | undefined;
       const done = (end: ExchangeEnd): void => {
         clearTimeout(timer);
         this._forwarding.delete(attempt);
-        void this._judged(attempt, end, asked).then(resolve);
+        void this._finishForward(attempt, end, abortReason).then(resolve);
       };
       const running = new HttpExchange(pool, { ...payload, headers }, this._deps.maxBodyBytes, done);
-      const stop = (why: 'timeout' | 'cancelled'): void => {
-        asked = why;
+      const stop = (reason: 'timeout' | 'cancelled'): void => {
+        abortReason = reason;
         running.abort();
       };
       const timer = setTimeout(stop, remainingMs, 'timeout');
@@ -194,16 +194,20 @@
   }
 
   /** The end of a run, once it is known what it says of the call's kind. */
-  private async _judged(attempt: string, end: ExchangeEnd, asked: 'timeout' | 'cancelled' | undefined): Promise<ForwardResult> {
+  private async _finishForward(
+    attempt: string,
+    end: ExchangeEnd,
+    abortReason: 'timeout' | 'cancelled' | undefined,
+  ): Promise<ForwardResult> {
     const { suspects } = this._deps;
     // A failure may have come before the work that ends the target.
     if (end.kind === 'answered' && end.status < 500) {
       suspects.completed(attempt);
     }
-    if (!asked && (end.kind === 'truncated' || (end.kind === 'lost' && end.written))) {
-      await suspects.cut();
+    if (!abortReason && (end.kind === 'truncated' || (end.kind === 'lost' && end.written))) {
+      await suspects.onConnectionLost();
     }
-    return forwardEnd(end, asked);
+    return forwardResultOf(end, abortReason);
   }
 
   private _headersFor(terms: OfferTerms, payload: Payload, remainingMs: number): Record<string, string | string[]> {
@@ -232,15 +236,15 @@
 }
 
 /** Whoever sends the call on should know what is held against its kind, also before word of it has come. */
-function withSuspicion(end: OfferResult, known: () => Suspicion | undefined): OfferResult {
-  if (end.kind !== 'failed' && end.kind !== 'refused') {
-    return end;
+function withSuspicion(result: OfferResult, lookUp: () => Suspicion | undefined): OfferResult {
+  if (result.kind !== 'failed' && result.kind !== 'refused') {
+    return result;
   }
-  const suspicion = known();
-  return suspicion ? { ...end, suspicion } : end;
+  const suspicion = lookUp();
+  return suspicion ? { ...result, suspicion } : result;
 }
 
-function forwardEnd(end: ExchangeEnd, asked: 'timeout' | 'cancelled' | undefined): ForwardResult {
+function forwardResultOf(end: ExchangeEnd, abortReason: 'timeout' | 'cancelled' | undefined): ForwardResult {
   switch (end.kind) {
     case 'answered':
       return { kind: 'answered', answer: { status: end.status, headers: end.headers, body: end.body } };
@@ -249,6 +253,6 @@
     case 'too_large':
       return { kind: 'too_large' };
     case 'lost':
-      return asked && end.written ? { kind: asked } : { kind: 'lost', written: end.written };
+      return abortReason && end.written ? { kind: abortReason } : { kind: 'lost', written: end.written };
   }
 }
--- a/packages/daemon/src/app/openOffers.ts
+++ b/packages/daemon/src/app/openOffers.ts
@@ -10,20 +10,20 @@
   private readonly _counts = new Map<string, number>();
 
   /** Open offers at a daemon. */
-  at(daemon: string): number {
+  countFor(daemon: string): number {
     return this._counts.get(daemon) ?? 0;
   }
 
   /** Notes that one was sent. */
   sent(daemon: string): void {
-    this._counts.set(daemon, this.at(daemon) + 1);
+    this._counts.set(daemon, this.countFor(daemon) + 1);
   }
 
   /** Notes that one ended. */
   ended(daemon: string): void {
-    const left = this.at(daemon) - 1;
-    if (left > 0) {
-      this._counts.set(daemon, left);
+    const remaining = this.countFor(daemon) - 1;
+    if (remaining > 0) {
+      this._counts.set(daemon, remaining);
     } else {
       this._counts.delete(daemon);
     }
--- a/packages/daemon/src/app/peerCodec.ts
+++ b/packages/daemon/src/app/peerCodec.ts
@@ -15,7 +15,7 @@
   TargetState as TargetMsg,
 } from '@gentiandrum/protocol/peers';
 
-const kStates: Record<MemberState, StateMsg> = {
+const kMemberStates: Record<MemberState, StateMsg> = {
   alive: StateMsg.ALIVE,
   suspect: StateMsg.SUSPECT,
   dead: StateMsg.DEAD,
@@ -29,7 +29,7 @@
     ...member,
     incarnation: BigInt(member.incarnation),
     configVersion: BigInt(member.configVersion),
-    state: kStates[member.state],
+    state: kMemberStates[member.state],
     targetState: kTargetStates[member.targetState],
     leaveProof: member.leaveProof,
   };
@@ -50,7 +50,7 @@
     slots,
     incarnation: Number(msg.incarnation),
     configVersion: Number(msg.configVersion),
-    state: keyOf(kStates, msg.state) ?? 'suspect',
+    state: keyOf(kMemberStates, msg.state) ?? 'suspect',
     targetState: keyOf(kTargetStates, msg.targetState) ?? 'absent',
     leaveProof: msg.leaveProof && { unsettled: msg.leaveProof.unsettled },
   };
@@ -67,7 +67,7 @@
 }
 
 /** Recorded end → its JSON part and its body. */
-export function encodeServed(served: ServeResult): { served: string; body: Uint8Array } {
+export function encodeServeResult(served: ServeResult): { served: string; body: Uint8Array } {
   if (served.kind === 'error') {
     return { served: JSON.stringify(served), body: new Uint8Array() };
   }
@@ -76,7 +76,7 @@
 }
 
 /** JSON part and body → recorded end. */
-export function decodeServed(text: string, body: Uint8Array): ServeResult {
+export function decodeServeResult(text: string, body: Uint8Array): ServeResult {
   const served = JSON.parse(text) as ServeResult;
   return served.kind === 'error' ? served : { kind: 'answer', answer: { ...served.answer, body } };
 }
--- a/packages/daemon/src/app/suspectOffers.ts
+++ b/packages/daemon/src/app/suspectOffers.ts
@@ -26,9 +26,9 @@
 /** Share of the time that is left for which a suspect may wait for others of its kind. */
 const kWaitShare = 0.5;
 /** How often waiting suspects are looked at, in milliseconds. */
-const kExpireMs = 20;
+const kExpiryPeriodMs = 20;
 /** Time for the other connections of an ended target to bring what was on its way, in milliseconds. */
-const kSettleMs = 5;
+const kDrainMs = 5;
 
 /** What the offers use of their daemon. */
 export interface SuspectOffersDeps {
@@ -65,7 +65,7 @@
   private readonly _gate: SuspectGate<SuspectOffer>;
   private readonly _offers = new Map<string, SuspectOffer>();
   private readonly _running = new Set<SuspectOffer>();
-  private _inquiry: Promise<boolean> | undefined;
+  private _crashCheck: Promise<boolean> | undefined;
   private _expiryTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly _deps: SuspectOffersDeps) {
@@ -76,7 +76,7 @@
       onRefuse: (offer, reason) => {
         offer.resolve(reason);
       },
-      isProbeTarget: (fingerprint, { service }) => this._isTrialTarget(fingerprint, service),
+      isProbeTarget: (fingerprint, { service }) => this._isProbeTarget(fingerprint, service),
     });
   }
 
@@ -102,7 +102,7 @@
   }
 
   /** What is held against the kind of an offer. */
-  known({ service }: OfferTerms, payload: Payload): Suspicion | undefined {
+  suspicionOf({ service }: OfferTerms, payload: Payload): Suspicion | undefined {
     return this._deps.suspects.assess(() => requestIdentity(service, payload))?.suspicion;
   }
 
@@ -133,22 +133,22 @@
   }
 
   /** The connection of a running offer ended without an answer: resolves once it is known whether the target did. */
-  async cut(): Promise<void> {
+  async onConnectionLost(): Promise<void> {
     const target = this._deps.target();
     if (target) {
-      this._inquiry ??= this._inquire(target.name, target.url).finally(() => {
-        this._inquiry = undefined;
+      this._crashCheck ??= this._checkForCrash(target.name, target.url).finally(() => {
+        this._crashCheck = undefined;
       });
-      await this._inquiry;
+      await this._crashCheck;
     }
   }
 
-  private async _inquire(name: string, url: string): Promise<boolean> {
+  private async _checkForCrash(name: string, url: string): Promise<boolean> {
     const running = [...this._running];
     if ((await probeTarget(url)) !== 'refused') {
       return false;
     }
-    await new Promise((resolve) => setTimeout(resolve, kSettleMs));
+    await new Promise((resolve) => setTimeout(resolve, kDrainMs));
     const at = wallMs();
     this._deps.logger.warn('quarantine', 'The target ended while calls ran on it.', { target: name, running: running.length });
     this._gate.crashed(
@@ -159,23 +159,23 @@
   }
 
   private _wait(offer: SuspectOffer): Promise<SuspectRefusal | undefined> {
-    this._expireLater();
+    this._scheduleExpiry();
     return new Promise((resolve) => {
       offer.resolve = resolve;
     });
   }
 
-  private _expireLater(): void {
+  private _scheduleExpiry(): void {
     this._expiryTimer ??= setTimeout(() => {
       this._expiryTimer = undefined;
       this._gate.expire(monotonicMs());
       if (this._gate.waiting > 0) {
-        this._expireLater();
+        this._scheduleExpiry();
       }
-    }, kExpireMs);
+    }, kExpiryPeriodMs);
   }
 
-  private _isTrialTarget(fingerprint: string, service: string): boolean {
+  private _isProbeTarget(fingerprint: string, service: string): boolean {
     const targets = this._deps.targets(service).map((host) => ({ host }));
     return chooseProbeTarget(fingerprint, targets, new Set())?.host === this._deps.target()?.name;
   }
--- a/packages/daemon/src/app/suspectService.ts
+++ b/packages/daemon/src/app/suspectService.ts
@@ -10,9 +10,9 @@
 import type { Logger } from './logger.js';
 
 /** Daemons that are told at once, drawn anew each time; they pass it on, so a fleet of hundreds has heard within three rounds. */
-const kTold = 32;
+const kBroadcastFanout = 32;
 /** Daemons that one which starts asks. */
-const kAsked = 3;
+const kInitialPeers = 3;
 
 /** Suspects of one daemon, and the others. */
 export class SuspectService {
@@ -25,37 +25,37 @@
   ) {
     this.suspects = new Suspects({
       broadcast: (suspects) => {
-        void this._tell(kTold, suspects);
+        void this._exchange(kBroadcastFanout, suspects);
       },
       sendSome: (count, suspects) => {
-        void this._tell(count, suspects);
+        void this._exchange(count, suspects);
       },
       onEvent: (event) => {
-        this._note(event);
+        this._logEvent(event);
       },
     });
   }
 
   /** Takes what another daemon tells; returns what is known here. */
-  heard(suspects: readonly Suspicion[]): Suspicion[] {
+  mergeFromPeer(suspects: readonly Suspicion[]): Suspicion[] {
     this.suspects.mergeFromPeer(suspects);
     return this.suspects.snapshot;
   }
 
   /** Asks some daemons for what they know. */
-  async ask(): Promise<void> {
-    await this._tell(kAsked, []);
+  async fetchFromPeers(): Promise<void> {
+    await this._exchange(kInitialPeers, []);
   }
 
-  private async _tell(count: number, suspects: readonly Suspicion[]): Promise<void> {
+  private async _exchange(count: number, suspects: readonly Suspicion[]): Promise<void> {
     const members = this._view.sampleAlive(count);
-    const answers = await Promise.all(members.map(({ address }) => this._peers.tellSuspects(address, suspects)));
-    for (const known of answers) {
+    const responses = await Promise.all(members.map(({ address }) => this._peers.tellSuspects(address, suspects)));
+    for (const known of responses) {
       this.suspects.mergeFromPeer(known ?? []);
     }
   }
 
-  private _note(event: SuspectEvent): void {
+  private _logEvent(event: SuspectEvent): void {
     switch (event.kind) {
       case 'quarantined': {
         const { fingerprint, route } = event.suspicion;
--- a/packages/daemon/src/client/peerClient.ts
+++ b/packages/daemon/src/client/peerClient.ts
@@ -18,7 +18,7 @@
   SettleKeyResponse_Verdict as Verdict,
 } from '@gentiandrum/protocol/peers';
 import { Agent } from 'node:http';
-import { decodeMember, decodeServed, decodeSuspicion, encodeMember } from '../app/peerCodec.js';
+import { decodeMember, decodeServeResult, decodeSuspicion, encodeMember } from '../app/peerCodec.js';
 
 const kTimeoutMs = 500;
 const kClaimTimeoutMs = 2_000;
@@ -97,7 +97,7 @@
       case undefined:
         return { kind: 'unreachable' };
       case AnswerState.RECORDED:
-        return { kind: 'recorded', served: decodeServed(res.served, res.body) };
+        return { kind: 'recorded', served: decodeServeResult(res.served, res.body) };
       case AnswerState.RUNNING:
         return { kind: 'running' };
       case AnswerState.MISMATCH:
--- a/packages/daemon/src/server/callRoutes.ts
+++ b/packages/daemon/src/server/callRoutes.ts
@@ -94,14 +94,14 @@
   }
   const { service, payload } = readPayload(req, body);
   const token = chain.kind === 'token' ? chain.token : undefined;
-  const taken = daemon.calls.take({ service, payload, key: key.val, timeoutMs: timeout.val, chain: token });
+  const taken = daemon.calls.accept({ service, payload, key: key.val, timeoutMs: timeout.val, chain: token });
   const onClose = (): void => {
     if (!reply.raw.writableEnded) {
-      taken.callerGone();
+      taken.onCallerDisconnect();
     }
   };
   reply.raw.on('close', onClose);
-  const served = await taken.served;
+  const served = await taken.result;
   reply.raw.off('close', onClose);
   sendServed(reply, taken.id, served);
   return reply;
@@ -125,16 +125,16 @@
   const end: OfferResult = await daemon.offers.offer(terms, { method, path, headers, body });
   reply.raw.off('close', onClose);
   if (end.kind === 'refused') {
-    daemon.taken.refused(req.raw.socket, terms.attempt);
+    daemon.acceptedOffers.refused(req.raw.socket, terms.attempt);
   }
   return reply.header(kVerdictHeader, verdictHeader(end)).send(end.kind === 'answered' ? end.answer.body : kNoBody);
 }
 
-function noteOffer({ taken }: Daemon, socket: Socket, from: string, { attempt, remainingMs, idempotent }: OfferTerms): void {
+function noteOffer({ acceptedOffers }: Daemon, socket: Socket, from: string, { attempt, remainingMs, idempotent }: OfferTerms): void {
   const offer = idempotent ? undefined : { attempt, deadline: monotonicMs() + remainingMs };
-  if (taken.accept(socket, from, offer)) {
+  if (acceptedOffers.accept(socket, from, offer)) {
     socket.once('close', () => {
-      taken.closed(socket, monotonicMs());
+      acceptedOffers.closed(socket, monotonicMs());
     });
   }
 }
--- a/packages/daemon/src/server/controlController.ts
+++ b/packages/daemon/src/server/controlController.ts
@@ -129,7 +129,7 @@
   /** The decisions made for a request here. */
   @Get('decisions/:request')
   decisions(@Param('request') request: string): { request: string; decisions: LoggedDecision[] } {
-    return { request, decisions: this._daemon.decisions.of(request) };
+    return { request, decisions: this._daemon.decisions.forRequest(request) };
   }
 
   /** Kinds of calls that targets ended by. */
--- a/packages/daemon/src/server/main.ts
+++ b/packages/daemon/src/server/main.ts
@@ -7,7 +7,7 @@
 
 import { cac } from 'cac';
 import { Daemon } from '../app/daemon.js';
-import { faultText, loadSettings } from '../app/loadSettings.js';
+import { formatSettingsError, loadSettings } from '../app/loadSettings.js';
 import { type Server, startServer } from './startServer.js';
 
 /** Time in which connections that stand are still answered, each with its end, in milliseconds. */
@@ -36,7 +36,7 @@
   }
   const settings = loadSettings(file);
   if (settings.err) {
-    process.stderr.write(settings.val.map((fault) => `gentiandrumd: ${file}: ${faultText(fault)}\n`).join(''));
+    process.stderr.write(settings.val.map((fault) => `gentiandrumd: ${file}: ${formatSettingsError(fault)}\n`).join(''));
     process.exitCode = kExit.badSettings;
     return;
   }
--- a/packages/daemon/src/server/peerRoutes.ts
+++ b/packages/daemon/src/server/peerRoutes.ts
@@ -18,28 +18,28 @@
   SettleKeyResponseSchema,
 } from '@gentiandrum/protocol/peers';
 import type { Daemon } from '../app/daemon.js';
-import { decodeMember, decodeSuspicion, encodeMember, encodeServed } from '../app/peerCodec.js';
+import { decodeMember, decodeSuspicion, encodeMember, encodeServeResult } from '../app/peerCodec.js';
 
 /** Registers the peer service. */
 export function peerRoutes(daemon: Daemon): (router: ConnectRouter) => void {
   return (router) => {
     router.service(PeerService, {
       ping: ({ from, configVersion, changes }) => {
-        const pong = daemon.members.pinged(from, Number(configVersion), changes.map(decodeMember));
+        const pong = daemon.members.onPing(from, Number(configVersion), changes.map(decodeMember));
         return { configVersion: BigInt(pong.configVersion), changes: pong.changes.map(encodeMember), openOffers: pong.openOffers };
       },
       tellSuspects: ({ suspects }) => {
-        const known = daemon.suspects.heard(suspects.map(decodeSuspicion));
+        const known = daemon.suspects.mergeFromPeer(suspects.map(decodeSuspicion));
         return { suspects: known.map((suspicion) => ({ ...suspicion, marks: [...suspicion.marks] })) };
       },
       fetchMembers: () => ({ members: daemon.members.view.all().map(encodeMember) }),
       fetchConfig: ({ next }) => {
-        const lacking = daemon.config.since(Number(next));
+        const lacking = daemon.config.changesSince(Number(next));
         const records = lacking.records.map(({ offset, value }) => ({ offset: BigInt(offset), value: JSON.stringify(value) }));
         return { next: BigInt(lacking.next), records, snapshot: lacking.snapshot };
       },
       relayClaim: async ({ claim }) => {
-        const claimed = claim ? await daemon.claims.claimFor(claim) : undefined;
+        const claimed = claim ? await daemon.claims.claimForPeer(claim) : undefined;
         return { holder: claimed?.kind === 'holder' ? claimed.holder : undefined };
       },
       settleKey: (req) => settleKey(daemon, req),
@@ -83,7 +83,7 @@
   const found = lookUpResponse(answers, { key, body, claimant }, self);
   switch (found.kind) {
     case 'recorded':
-      return create(FetchAnswerResponseSchema, { state: AnswerState.RECORDED, ...encodeServed(found.served) });
+      return create(FetchAnswerResponseSchema, { state: AnswerState.RECORDED, ...encodeServeResult(found.served) });
     case 'running':
       return create(FetchAnswerResponseSchema, { state: AnswerState.RUNNING });
     case 'not_run':
