--- a/tests/e2e/leavingDaemon.spec.ts
+++ b/tests/e2e/leavingDaemon.spec.ts
@@ -28,38 +28,38 @@
 
 const kCallers = 24;
 /** Calls that are answered between two stops. */
-const kAnsweredBetween = 100;
+const kResponsesBetweenStops = 100;
 /** Daemons of `beta` that stop in turn, and daemons without a target, which make it unlikely that a ping finds a leaver gone first. */
-const kLeavers = ['b2', 'b3', 'b4'];
-const kOthers = ['c1', 'c2', 'c3', 'c4', 'c5'];
+const kStoppedDaemons = ['b2', 'b3', 'b4'];
+const kOtherDaemons = ['c1', 'c2', 'c3', 'c4', 'c5'];
 
 /** Holds may take as long as the sender stands still: what ends at its deadline says nothing of the offer. */
-const kPatientConfig = {
+const kLongDeadlineConfig = {
   ...kSampleConfig,
   classes: { ...kSampleConfig.classes, 'beta-hold': { ...kSampleConfig.classes['beta-hold'], deadlineMs: 60_000 } },
 };
 
 /** Callers that file one hold after another through one daemon, and note each end that may have run. */
-class Holders {
+class HoldCallers {
   answered = 0;
   readonly lost: string[] = [];
-  private _on = true;
-  private readonly _running: Promise<void>[];
+  private _active = true;
+  private readonly _loops: Promise<void>[];
 
   constructor(
     private readonly _address: string,
     private readonly _dispatcher: Agent,
   ) {
-    this._running = Array.from({ length: kCallers }, () => this._loop());
+    this._loops = Array.from({ length: kCallers }, () => this._loop());
   }
 
   async stop(): Promise<void> {
-    this._on = false;
-    await Promise.all(this._running);
+    this._active = false;
+    await Promise.all(this._loops);
   }
 
   private async _loop(): Promise<void> {
-    while (this._on) {
+    while (this._active) {
       const res = await request(`http://${this._address}/beta/holds`, { dispatcher: this._dispatcher, method: 'POST' });
       const text = await res.body.text();
       if (res.statusCode === 200) {
@@ -75,29 +75,29 @@
   itAlone('should cost no call of a sender that stood still until it was gone', async (t) => {
     const fleet = await Fleet.start([
       { id: 'a1', zone: 'east', service: 'alpha' },
-      ...['b1', ...kLeavers].map((id) => ({ id, zone: 'east', service: 'beta', behaviour: { workMs: 5 } })),
-      ...kOthers.map((id) => ({ id, zone: 'east' })),
+      ...['b1', ...kStoppedDaemons].map((id) => ({ id, zone: 'east', service: 'beta', behaviour: { workMs: 5 } })),
+      ...kOtherDaemons.map((id) => ({ id, zone: 'east' })),
     ]);
-    const callers = new Agent({ connections: kCallers });
+    const agent = new Agent({ connections: kCallers });
     try {
-      await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kPatientConfig);
-      await fleet.untilTargets('beta', 1 + kLeavers.length);
+      await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kLongDeadlineConfig);
+      await fleet.untilTargets('beta', 1 + kStoppedDaemons.length);
       const a1 = fleet.host('a1');
-      const holders = new Holders(a1.address, callers);
-      for (const id of kLeavers) {
-        const { answered } = holders;
-        await until('calls run', () => Promise.resolve(holders.answered > answered + kAnsweredBetween));
+      const callers = new HoldCallers(a1.address, agent);
+      for (const id of kStoppedDaemons) {
+        const { answered } = callers;
+        await until('calls run', () => Promise.resolve(callers.answered > answered + kResponsesBetweenStops));
         a1.daemon.kill('SIGSTOP');
-        const leaver = fleet.host(id).daemon;
-        leaver.kill('SIGTERM');
-        t.is(await exitOf(leaver), 0);
+        const stoppedDaemon = fleet.host(id).daemon;
+        stoppedDaemon.kill('SIGTERM');
+        t.is(await exitOf(stoppedDaemon), 0);
         a1.daemon.kill('SIGCONT');
       }
-      await holders.stop();
-      t.deepEqual(holders.lost, [], fleet.linesAbout(holders.lost));
+      await callers.stop();
+      t.deepEqual(callers.lost, [], fleet.linesAbout(callers.lost));
     } finally {
       fleet.stop();
-      await callers.destroy();
+      await agent.destroy();
     }
   });
 
--- a/tests/e2e/lethalCalls.spec.ts
+++ b/tests/e2e/lethalCalls.spec.ts
@@ -15,28 +15,28 @@
 import { kSampleConfig } from '../support/sampleConfig.js';
 
 const kTargets = ['b1', 'b2', 'b3', 'b4', 'b5'];
-const kDownMs = 1_000;
+const kRestartDelayMs = 1_000;
 const kLethalCalls = 20;
-const kEveryMs = 250;
-const kMaxEnds = 3;
+const kCallPeriodMs = 250;
+const kMaxCrashes = 3;
 
 let fleet: Fleet;
-let ends = 0;
-let over = false;
+let crashes = 0;
+let stopped = false;
 
 /** Starts a target again some time after it ended, as long as the fleet is there. */
-function revive(host: FleetHost): void {
+function restartAfterCrashes(host: FleetHost): void {
   host.target?.once('exit', (code) => {
     if (code === 1) {
-      ends++;
+      crashes++;
       setTimeout(() => {
-        if (over) {
+        if (stopped) {
           return;
         }
         void fleet.startTarget(host, 'beta', { endsOn: 'lethal' }).then(() => {
-          revive(host);
+          restartAfterCrashes(host);
         });
-      }, kDownMs);
+      }, kRestartDelayMs);
     }
   });
 }
@@ -49,12 +49,12 @@
   await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
   await fleet.untilTargets('beta', kTargets.length);
   kTargets.forEach((id) => {
-    revive(fleet.host(id));
+    restartAfterCrashes(fleet.host(id));
   });
 });
 
 test.after.always(() => {
-  over = true;
+  stopped = true;
   fleet.stop();
 });
 
@@ -74,9 +74,9 @@
     const hosts = [...fleet.hosts.keys()];
     for (let i = 0; i < kLethalCalls; i++) {
       await call(hosts[i % hosts.length] ?? 'a1', '/beta/lethal/1');
-      await new Promise((resolve) => setTimeout(resolve, kEveryMs));
+      await new Promise((resolve) => setTimeout(resolve, kCallPeriodMs));
     }
-    t.true(ends <= kMaxEnds, `expected at most ${kMaxEnds} ends of targets, got ${ends}`);
+    t.true(crashes <= kMaxCrashes, `expected at most ${kMaxCrashes} ends of targets, got ${crashes}`);
     for (const host of hosts) {
       const { status, kind, retryAfter } = await call(host, '/beta/lethal/1');
       t.deepEqual({ status, kind }, { status: 503, kind: 'quarantined' });
--- a/tests/e2e/stops.spec.ts
+++ b/tests/e2e/stops.spec.ts
@@ -14,7 +14,7 @@
 
 const kIds = ['a1', 'b1', 'b2', 'b3'];
 const kCallers = 8;
-const kTries = 400;
+const kMaxTries = 400;
 const kPauseMs = 25;
 
 let fleet: Fleet;
@@ -51,50 +51,50 @@
 class Callers {
   answered = 0;
   readonly lost: string[] = [];
-  private _on = true;
+  private _active = true;
   private readonly _notBefore = new Map<string, number>();
-  private readonly _running: Promise<void>[];
+  private readonly _loops: Promise<void>[];
 
-  constructor(path: string, init: RequestInit, places: string[]) {
-    this._running = Array.from({ length: kCallers }, (_, i) => this._loop(path, init, places, i));
+  constructor(path: string, init: RequestInit, hostIds: string[]) {
+    this._loops = Array.from({ length: kCallers }, (_, i) => this._loop(path, init, hostIds, i));
   }
 
   async stop(): Promise<void> {
-    this._on = false;
-    await Promise.all(this._running);
+    this._active = false;
+    await Promise.all(this._loops);
   }
 
-  private async _loop(path: string, init: RequestInit, places: string[], start: number): Promise<void> {
-    for (let i = start; this._on; i++) {
-      await this._ask(path, init, places, i);
+  private async _loop(path: string, init: RequestInit, hostIds: string[], start: number): Promise<void> {
+    for (let i = start; this._active; i++) {
+      await this._request(path, init, hostIds, i);
     }
   }
 
-  private async _ask(path: string, init: RequestInit, places: string[], first: number): Promise<void> {
-    for (let i = first; i < first + kTries; i++) {
-      const place = places[i % places.length] ?? '';
-      if (performance.now() < (this._notBefore.get(place) ?? 0)) {
+  private async _request(path: string, init: RequestInit, hostIds: string[], first: number): Promise<void> {
+    for (let i = first; i < first + kMaxTries; i++) {
+      const hostId = hostIds[i % hostIds.length] ?? '';
+      if (performance.now() < (this._notBefore.get(hostId) ?? 0)) {
         await pause(kPauseMs);
         continue;
       }
-      const end = await fetch(`http://${fleet.host(place).address}${path}`, init).catch(
+      const res = await fetch(`http://${fleet.host(hostId).address}${path}`, init).catch(
         (err: unknown) => err as Error & { cause?: { code?: string } },
       );
-      if (end instanceof Error) {
-        if (end.cause?.code !== 'ECONNREFUSED') {
-          this.lost.push(`${place}: ${end.cause?.code ?? end.message}`);
+      if (res instanceof Error) {
+        if (res.cause?.code !== 'ECONNREFUSED') {
+          this.lost.push(`${hostId}: ${res.cause?.code ?? res.message}`);
           return;
         }
       } else {
-        const text = await end.text();
-        if (end.status === 200) {
+        const text = await res.text();
+        if (res.status === 200) {
           this.answered++;
           return;
         }
-        const retryAfter = Number(end.headers.get('retry-after') ?? 0);
-        this._notBefore.set(place, performance.now() + retryAfter * 1_000);
-        if (end.headers.get('gentiandrum-outcome') !== 'not_run') {
-          this.lost.push(`${place}: ${text}`);
+        const retryAfter = Number(res.headers.get('retry-after') ?? 0);
+        this._notBefore.set(hostId, performance.now() + retryAfter * 1_000);
+        if (res.headers.get('gentiandrum-outcome') !== 'not_run') {
+          this.lost.push(`${hostId}: ${text}`);
           return;
         }
       }
@@ -112,14 +112,14 @@
   itAlone('should cut nothing under load while the log is down', async (t) => {
     await fleet.setLogFaults({ down: true });
     const callers = new Callers('/alpha/x', { method: 'PUT' }, ['b1', 'b2', 'a1']);
-    const holders = new Callers('/beta/holds', { method: 'POST' }, ['b1', 'a1']);
-    await until('calls run', () => Promise.resolve(callers.answered > 20 || holders.answered > 20));
+    const holdCallers = new Callers('/beta/holds', { method: 'POST' }, ['b1', 'a1']);
+    await until('calls run', () => Promise.resolve(callers.answered > 20 || holdCallers.answered > 20));
     fleet.host('b2').daemon.kill('SIGTERM');
     const code = await exitOf(fleet.host('b2').daemon);
-    await Promise.all([callers.stop(), holders.stop()]);
+    await Promise.all([callers.stop(), holdCallers.stop()]);
     await fleet.setLogFaults({});
     t.is(code, 0);
-    t.deepEqual([...callers.lost, ...holders.lost], [], fleet.linesAbout([...callers.lost, ...holders.lost]));
+    t.deepEqual([...callers.lost, ...holdCallers.lost], [], fleet.linesAbout([...callers.lost, ...holdCallers.lost]));
     t.true(fleet.host('b2').logs.some((line) => line.includes('Nothing was cut.')));
     await fleet.startHost({ id: 'b2', zone: 'west', service: 'beta', behaviour: { workMs: 5 } }, {}, fleet.host('b2').address);
     await fleet.untilTargets('beta', 3);
