--- a/packages/daemon/src/app/callService.ts
+++ b/packages/daemon/src/app/callService.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Serves calls that come in at this daemon, from callers and from the target on this host. */
+/** Serves the calls that arrive at this daemon: external requests, and requests from the target on this host. */
 
 import {
   ResponseStore,
@@ -45,25 +45,25 @@
 import type { Metrics } from './metrics.js';
 import { type ParsedKey, parseIdempotencyKey } from './idempotencyKey.js';
 
-/** A request as the HTTP side hands it over. */
+/** A request as received by the HTTP server. */
 export interface IncomingRequest {
   service: string;
   payload: Payload;
-  /** Text of the `Idempotency-Key` header. */
+  /** Raw value of the `Idempotency-Key` header. */
   key: string | undefined;
-  /** Time that the caller allows, in milliseconds. */
+  /** Timeout that the caller set, in milliseconds. */
   timeoutMs: number | undefined;
   chain: ChainToken | undefined;
 }
 
-/** A request that was taken in: how it ends, and how to tell that its caller hung up. */
+/** A request that this daemon serves, or has refused. The owner of the connection calls `onCallerDisconnect` when it closes. */
 export interface AcceptedRequest {
   id: string;
   result: Promise<ServeResult>;
   onCallerDisconnect: () => void;
 }
 
-/** What the service uses of its daemon. */
+/** Parts of the daemon that {@link CallService} depends on. */
 export interface CallDeps extends SessionDeps {
   daemon: ServeContext['daemon'];
   stopping: () => boolean;
@@ -82,7 +82,7 @@
   inFlightBytes: number;
 }
 
-/** Call side of one daemon. */
+/** Runs the call procedure for each request and performs its effects. */
 export class CallService {
   readonly settler = new KeySettler();
   readonly answers: ResponseStore;
@@ -104,25 +104,25 @@
     this._ctx = this._makeContext();
   }
 
-  /** Calls that are being served. */
+  /** Number of calls that are being served. */
   get inFlight(): number {
     return this._inFlight;
   }
 
-  /** Puts a configuration in force. */
+  /** Applies a new configuration. */
   configure(cfg: Config): void {
     this._cfg = cfg;
     this._classifier = new Classifier(cfg);
   }
 
-  /** A new namespace for a caller's numbered keys. */
+  /** Opens a namespace for idempotency keys that a caller numbers in sequence, and returns its name. */
   openNamespace(): string {
     const name = this._ids.next().replaceAll('~', '.');
     this.settler.openNamespace(name);
     return name;
   }
 
-  /** Takes a request in. */
+  /** Starts to serve a request. A request that fails validation gets an error result at once. */
   accept(req: IncomingRequest): AcceptedRequest {
     const id = this._ids.next();
     const call = this._makeCall(id, req);
@@ -140,12 +140,12 @@
     };
   }
 
-  /** Error answer for a request that is refused before anything is done for it. */
+  /** Result for a request that is refused before any processing. */
   refusal(error: ErrorKind): ServeResult {
     return errorResult(error, errorResponse(error).outcome, errorResponse(error).title);
   }
 
-  /** Gives the claim of a key back whose call was not run here. */
+  /** Releases the claim of a key whose call did not run on this daemon; false if it could not be released. */
   release(key: string): Promise<boolean> {
     const { daemon, claims } = this._deps;
     const { shard } = claims.shardOf(key);
@@ -247,13 +247,16 @@
     return { kind: 'derived', key: digestOf('derived', chain.root, chain.path) };
   }
 
-  /** Names a call within its chain by its parent, its own content, and its number among equal calls of that parent. */
+  /** Identifies a call within its chain by its parent, its content, and its ordinal among equal calls of that parent. */
   private _chainPathOf(token: ChainToken, cls: NamedClass, payload: Payload): string {
     const call = `${cls.name} ${payload.method} ${payload.path} ${hashBytes64(payload.body)}`;
     return hash64(`${token.path}/${call}/${this._nextOrdinal(token.entry, call)}`);
   }
 
-  /** Numbers equal calls of one parent: the second of two equal holds is meant, a retried parent's first is not. */
+  /**
+   * Numbers equal calls of one parent. Two equal calls of one parent get different keys, but a retried parent starts again at 0, so its
+   * first call gets the same key as before.
+   */
   private _nextOrdinal(parent: string, call: string): number {
     const counts = this._ordinals.get(parent) ?? new Map<string, number>();
     const ordinal = counts.get(call) ?? 0;
@@ -284,7 +287,7 @@
     };
   }
 
-  /** Waits for the running call of a key, up to a time on the monotonic clock. */
+  /** Waits for the running call of a key until `until` on the monotonic clock; undefined when it was abandoned or the time passed. */
   joinRunning(key: string, until: number): Promise<ServeResult | undefined> {
     return new Promise((resolve) => {
       const timer = setTimeout(
--- a/packages/daemon/src/app/callSession.ts
+++ b/packages/daemon/src/app/callSession.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** One call's attempts in the world: sends offers, collects their ends, and wakes the procedure that waits for them. */
+/** Sends the offers of one call and queues their results as events for the call procedure. */
 
 import { type CallEvent, type Candidate, type Effects, monotonicMs, type OfferResult, type Payload } from '@gentiandrum/core';
 import { kOfferHeader, kVerdictHeader, type OfferTerms, offerVerdictSchema } from '@gentiandrum/protocol';
@@ -13,22 +13,22 @@
 import type { OpenOffers } from './openOffers.js';
 import { isErrorKind, kOpenReport } from '@gentiandrum/core';
 
-/** Time for the word whether a cancelled attempt had started, in milliseconds. */
+/** Timeout for the response to a cancellation, in milliseconds. */
 const kCancelTimeoutMs = 50;
 const kMaxResponseBytes = 260 * 1024 * 1024;
 
-/** What a session uses of its daemon. */
+/** Parts of the daemon that {@link CallSession} depends on. */
 export interface SessionDeps {
   selfId: string;
   pools: Pools;
   offers: OfferService;
-  /** Offers to other daemons that have no end yet, by the daemons' ids. */
+  /** Offers to other daemons that have no result yet, by the daemons' ids. */
   openOffers: OpenOffers;
-  /** Whether the daemon of a target has left and proved that it never took an attempt. */
+  /** Whether the daemon of a target has left and proved that it never accepted an attempt. */
   neverAccepted: (to: Candidate, attempt: string) => Promise<boolean>;
 }
 
-/** Attempts of one call. */
+/** The attempts of one call and their pending events. */
 export class CallSession {
   private readonly _events: CallEvent[] = [];
   private readonly _exchanges = new Map<string, HttpExchange>();
@@ -37,7 +37,6 @@
 
   constructor(private readonly _deps: SessionDeps) {}
 
-  /** The caller hung up. */
   onCallerDisconnect(): void {
     if (!this._callerDisconnected) {
       this._callerDisconnected = true;
@@ -45,7 +44,7 @@
     }
   }
 
-  /** Sends an offer; its end comes as an event. */
+  /** Sends an offer; its result arrives as an event. */
   offer(effect: Effects['offer']['params']): Promise<undefined> {
     const { attempt, to, terms, payload } = effect;
     if (to.daemon === this._deps.selfId) {
@@ -61,7 +60,7 @@
     return Promise.resolve(undefined);
   }
 
-  /** Waits for the next event. */
+  /** Waits for the next event until `until` on the monotonic clock. */
   awaitEvent(until: number): Promise<CallEvent> {
     const event = this._events.shift();
     if (event) {
@@ -83,7 +82,7 @@
     });
   }
 
-  /** Cancels an attempt; learns whether it had started if that is awaited. */
+  /** Cancels an attempt. Replies whether it had started if `awaited`, else `unknown` at once. */
   async cancel({ attempt, to, awaited }: Effects['cancel']['params']): Promise<Effects['cancel']['reply']> {
     const reply = this._cancel(attempt, to);
     return awaited ? reply : { kind: 'unknown' };
@@ -124,8 +123,8 @@
   }
 
   /**
-   * An offer that must not run twice was written to a connection that ended without an answer. A daemon that left as planned has told
-   * which offers it may have taken; any other one was not, and may go to another target. Past its deadline nothing is proved any more.
+   * Handles a non-idempotent offer whose connection closed without a response. If the daemon left as planned and its last record does not
+   * list the attempt, it never accepted the offer, so another target may run it. The proof does not count after the deadline.
    */
   private async _onOfferLost(attempt: string, to: Candidate, end: Extract<ExchangeEnd, { kind: 'lost' }>, deadline: number): Promise<void> {
     const neverAccepted = await this._deps.neverAccepted(to, attempt);
@@ -142,7 +141,7 @@
   }
 }
 
-/** Reads the gate's answer. One that can't be read is as good as lost. */
+/** Decodes the gate's response. A response without a verdict counts as lost. */
 function offerResultOf(end: ExchangeEnd): OfferResult {
   if (end.kind === 'lost') {
     return end;
@@ -168,7 +167,7 @@
   }
 }
 
-/** The gate's answer as it travels. */
+/** Encodes a result as the value of the verdict header. */
 export function verdictHeader(result: OfferResult): string {
   if (result.kind === 'lost') {
     return JSON.stringify({ kind: 'lost', unspent: 0, level: kOpenReport, retriedBelow: false, load: 0, limit: 1 });
--- a/packages/daemon/src/app/chainToken.ts
+++ b/packages/daemon/src/app/chainToken.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The chain token: signed, so that a forged or truncated one is told apart from one of an earlier run. */
+/** Encodes, signs and verifies chain tokens. The signature detects forged and truncated tokens. */
 
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
@@ -12,30 +12,29 @@
 
 const kSignatureBytes = 12;
 
-/** Fields of a chain token. */
 export type ChainFields = Omit<ChainToken, '$typeName' | '$unknown'>;
-/** What a request's headers say of its chain. */
+/** Result of reading a chain token; `bad` means forged or truncated. */
 export type ChainRead = { kind: 'none' } | { kind: 'bad' } | { kind: 'token'; token: ChainToken };
 
 type Headers = Record<string, string | string[] | undefined>;
 
-/** Signs and checks chain tokens. */
+/** Signs and verifies chain tokens with a shared secret. */
 export class ChainTokens {
   constructor(private readonly _secret: string) {}
 
-  /** Makes the text of a token. */
+  /** Encodes and signs a token. */
   seal(fields: ChainFields): string {
     const bytes = toBinary(ChainTokenSchema, create(ChainTokenSchema, fields));
     return `${Buffer.from(bytes).toString('base64url')}.${this._sign(bytes).toString('base64url')}`;
   }
 
-  /** Reads the token from a request's headers. */
+  /** Reads and verifies the token of a request, from its own header or else from the baggage. */
   read(headers: Headers): ChainRead {
     const text = firstOf(headers[kChainHeader]) ?? fromBaggage(firstOf(headers.baggage));
     return text === undefined ? { kind: 'none' } : this.open(text);
   }
 
-  /** Checks the text of a token. */
+  /** Verifies and decodes a token. */
   open(text: string): ChainRead {
     const [body, signature, ...rest] = text.split('.');
     if (!body || !signature || rest.length > 0) {
@@ -54,7 +53,7 @@
   }
 }
 
-/** Adds the token to a request's baggage, replacing one that is there. */
+/** Adds the token to a `baggage` header value, replacing an existing token. */
 export function withBaggage(baggage: string | undefined, token: string): string {
   const others = (baggage ?? '').split(',').filter((entry) => entry.trim() !== '' && !entry.trim().startsWith(`${kBaggageKey}=`));
   return [...others, `${kBaggageKey}=${token}`].join(',');
--- a/packages/daemon/src/app/claimService.ts
+++ b/packages/daemon/src/app/claimService.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Claims streams: indexes of the shards that this daemon has to do with, and the daemon that batches for each shard. */
+/** Appends claims to the sharded claims streams, and indexes the shards that this daemon uses. */
 
 import {
   type AppendResult,
@@ -26,7 +26,7 @@
   appender: GroupAppender<ClaimRecord>;
 }
 
-/** Claims as seen by one daemon. */
+/** The claims streams as known to one daemon. */
 export class ClaimService {
   private readonly _shards = new Map<number, Shard>();
   private readonly _relays = new Map<number, string | undefined>();
@@ -38,28 +38,28 @@
     private readonly _limits: { claimShards: number; claimsPerShard: number },
   ) {}
 
-  /** Claims that are remembered here. */
+  /** Number of indexed claims. */
   get size(): number {
     return [...this._shards.values()].reduce((sum, { index }) => sum + index.size, 0);
   }
 
-  /** Shard of a key, its index, and the daemon that batches for it when that is another. */
+  /** Shard of a key, with its index. `relay` is the address of the daemon that batches its claims; undefined for the local daemon. */
   shardOf(key: string): { shard: number; index: ClaimIndex; relay?: string } {
     const shard = hash32(key) % this._limits.claimShards;
     return { shard, index: this._shard(shard).index, relay: this._relay(shard) };
   }
 
-  /** Appends a claim with the next group of its shard. */
+  /** Appends a claim with the next batch of its shard. */
   append(shard: number, record: ClaimRecord): Promise<AppendResult> {
     return this._shard(shard).appender.append(record);
   }
 
-  /** Reads a shard's stream up to an offset, or to its end. */
+  /** Reads a shard's stream into its index, up to an offset or to its current end. */
   read(shard: number, upTo?: number): Promise<ReadResult> {
     return this._shard(shard).tail.readUpTo(upTo);
   }
 
-  /** Claims for another daemon. */
+  /** Appends a claim on behalf of another daemon and reads back the holder of the key. */
   claimForPeer(record: ClaimRecord): Promise<ClaimedInLog> {
     const { shard, index } = this.shardOf(record.key);
     return runProcedure(claimInLog(record, shard, index), {
@@ -83,7 +83,7 @@
     return shard;
   }
 
-  /** Address of the daemon of the own region that batches for a shard; undefined when it is this one. */
+  /** Address of the daemon in this region that batches claims for a shard; undefined when it is the local daemon. */
   private _relay(shard: number): string | undefined {
     if (this._relaysChangeCount !== this._view.changeCount) {
       this._relays.clear();
@@ -95,7 +95,7 @@
     return this._relays.get(shard);
   }
 
-  /** The highest hash of daemon and shard wins; only efficiency depends on all daemons agreeing on it. */
+  /** Rendezvous hashing. Correctness does not depend on it: daemons that disagree only make smaller batches. */
   private _findRelay(shard: number): string | undefined {
     const { self } = this._view;
     let relay = self;
--- a/packages/daemon/src/app/configService.ts
+++ b/packages/daemon/src/app/configService.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Keeps the configuration current: a few daemons of each zone follow the log, the others hear of new versions from their
- * peers; every daemon also looks at the log itself now and then.
+ * Keeps the configuration current. A few readers in each zone follow the log, and the other daemons fetch new versions from their
+ * peers. Every daemon also polls the log at a low rate.
  */
 
 import { type Config, kConfigStream, kSnapshotStream, type PatchRecord } from '@gentiandrum/protocol';
@@ -25,16 +25,19 @@
 import { hash32, hexDigest } from './digests.js';
 import type { Logger } from './logger.js';
 
-/** Daemons of each zone that follow the log. */
+/** Number of daemons in each zone that follow the log. */
 const kReadersPerZone = 2;
+/** Wait of one read that follows the log, in milliseconds. */
 const kFollowWaitMs = 10_000;
 const kRetryMs = 500;
-/** Every daemon looks at the log at least this often, unless there are so many that the log would be crowded. */
+/** Period with which a daemon polls the log, in milliseconds; longer in a large fleet, to stay within {@link kMaxPollsPerSecond}. */
 const kMinPollPeriodMs = 3_000;
+/** Poll rate of all daemons together. */
 const kMaxPollsPerSecond = 100;
 const kMaxCachedRecords = 300;
-/** Records after which a snapshot is due, and the time after which one is renewed for the sake of retention. */
+/** Number of records after which a new snapshot is appended. */
 const kRecordsPerSnapshot = 100;
+/** Age at which a snapshot is appended again, before the log's retention removes it, in milliseconds. */
 const kMaxSnapshotAgeMs = 600_000;
 
 interface CachedRecord {
@@ -42,7 +45,7 @@
   value: unknown;
 }
 
-/** Configuration of one daemon. */
+/** Configuration of one daemon, with the records it can pass on to peers. */
 export class ConfigService {
   readonly fold = new ConfigFold();
   private readonly _tail: StreamTail;
@@ -55,7 +58,7 @@
   private _pollTimer: NodeJS.Timeout | undefined;
   private _fetching = false;
 
-  /** @param _onVersion called when a new version is in force here */
+  /** @param _onVersion called when this daemon applies a new version */
   constructor(
     private readonly _log: LogClient,
     private readonly _peers: PeerClient,
@@ -89,24 +92,24 @@
     );
   }
 
-  /** Whether this daemon follows the log for its zone. */
+  /** Whether this daemon is a reader for its zone. */
   get isReader(): boolean {
     return this._rank((member) => member.zone === this._view.self.zone) < kReadersPerZone;
   }
 
-  /** Starts to keep the configuration current. */
+  /** Starts following and polling the log. */
   start(): void {
     void this._followLoop();
     this._schedulePoll();
   }
 
-  /** Stops. */
+  /** Stops following and polling the log after the current reads. */
   stop(): void {
     this._stopped = true;
     clearTimeout(this._pollTimer);
   }
 
-  /** Folds the log up to an offset, or to its end. */
+  /** Folds the log up to an offset, or to its current end. */
   read(upTo?: number): Promise<ReadResult> {
     return this._tail.readUpTo(upTo);
   }
@@ -116,7 +119,7 @@
     return this._snapshots.readUpTo();
   }
 
-  /** Submits an operator's patch. */
+  /** Appends an operator's patch to the log and returns its verdict. */
   submit(record: PatchRecord): Promise<SubmitResult> {
     return runProcedure(submitPatch(record, this.fold), {
       readConfig: ({ upTo }) => this.read(upTo),
@@ -124,7 +127,7 @@
     });
   }
 
-  /** Fetches from a peer what is lacking here. */
+  /** Fetches missing records from a peer; false when the peer did not respond. */
   async fetchFrom(address: string): Promise<boolean> {
     const res = await this._peers.fetchConfig(address, this.fold.next);
     if (!res) {
@@ -141,7 +144,7 @@
     return true;
   }
 
-  /** Fetches from a peer unless a fetch is under way. */
+  /** Like {@link fetchFrom}, but does nothing while another call of this method is in progress. */
   async fetchOnce(address: string): Promise<void> {
     if (this._fetching) {
       return;
@@ -154,7 +157,7 @@
     }
   }
 
-  /** What a peer lacks from an offset on: records while they are kept, else a snapshot. */
+  /** The records from an offset on, or a snapshot if those are no longer cached. */
   changesSince(next: number): { next: number; records: CachedRecord[]; snapshot: string } {
     const records = this._cachedRecords.filter((record) => record.offset >= next);
     const complete = next >= this.fold.next || records[0]?.offset === next;
@@ -173,13 +176,12 @@
     }
   }
 
-  /** Appends a snapshot. */
   private async _appendSnapshot(): Promise<AppendResult> {
     const result = await this._log.append(kSnapshotStream, this.fold.snapshot(hexDigest));
     if (result.kind === 'appended') {
       this._snapshotOffset = this.fold.next;
       this._snapshotAt = Date.now();
-      this._logger.info('config', 'Appended a snapshot.', { version: this.fold.version, offset: this.fold.next });
+      this._logger.info('config', 'Appended a configuration snapshot.', { version: this.fold.version, offset: this.fold.next });
     }
     return result;
   }
@@ -226,11 +228,11 @@
   }
 
   private _notifyVersion(): void {
-    this._logger.info('config', `Version ${this.fold.version} is in force.`, { version: this.fold.version });
+    this._logger.info('config', `Applied configuration version ${this.fold.version}.`, { version: this.fold.version });
     this._onVersion(this.fold.config);
   }
 
-  /** Place of this daemon among the living ones of a group, in an order that all compute alike. */
+  /** Rank of this daemon by hashed id among the alive daemons of a group; all daemons compute the same order. */
   private _rank(isInGroup: (of: { zone: string }) => boolean): number {
     const { self } = this._view;
     const selfHash = hash32(self.id);
--- a/packages/daemon/src/app/controlMeter.ts
+++ b/packages/daemon/src/app/controlMeter.ts
@@ -3,34 +3,34 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Measures what control costs in bytes: messages to and from the log and the other daemons. */
+/** Measures control traffic: messages to and from the platform's log and the other daemons. */
 
 import type { Socket } from 'node:net';
 import type { LogTraffic } from '../client/logClient.js';
 
-/** Meter of one daemon's control traffic. */
+/** Control traffic of one daemon since its start. */
 export class ControlMeter {
   private _peerBytes = 0;
   private readonly _countedBytes = new WeakMap<Socket, number>();
 
   constructor(private readonly _logTraffic: LogTraffic) {}
 
-  /** Bytes of control messages since the start. */
+  /** Total size of the control messages, in bytes. */
   get bytes(): number {
     return this._peerBytes + this._logTraffic.bytes;
   }
 
-  /** Appends to the log since the start. */
+  /** Number of appends to the log. */
   get appends(): number {
     return this._logTraffic.appends;
   }
 
-  /** Reads of the log since the start. */
+  /** Number of reads of the log. */
   get reads(): number {
     return this._logTraffic.reads;
   }
 
-  /** Takes the total that a peer's connection has carried so far, both ways, with its headers. */
+  /** Adds the traffic of a peer connection; `total` is the cumulative size in both directions with headers, in bytes. */
   addConnectionBytes(socket: Socket, total: number): void {
     this._peerBytes += total - (this._countedBytes.get(socket) ?? 0);
     this._countedBytes.set(socket, total);
--- a/packages/daemon/src/app/daemon.ts
+++ b/packages/daemon/src/app/daemon.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** One daemon: puts its parts together, starts them, and stops them in order. */
+/** Creates the parts of a daemon, and starts and stops them in order. */
 
 import type { Socket } from 'node:net';
 import {
@@ -43,10 +43,10 @@
 const kColdStartRounds = 3;
 const kQueriedPeers = 3;
 const kMemberRefreshPeriodMs = 600_000;
-/** How often a planned stop looks whether what it waits for is over, in milliseconds. */
+/** Period with which a planned stop checks its conditions, in milliseconds. */
 const kStopPollMs = 20;
 
-/** One daemon. */
+/** The daemon of one host. */
 export class Daemon {
   readonly logger: Logger;
   readonly metrics: Metrics;
@@ -60,7 +60,7 @@
   readonly claims: ClaimService;
   readonly meter: ControlMeter;
   readonly suspects: SuspectService;
-  /** Offers of other daemons, by the connections that they came over. */
+  /** Offers of other daemons, by connection. */
   readonly acceptedOffers = new AcceptedOffers<Socket>();
   readonly incarnation: number;
   private readonly _pools = new Pools(kPeerConnections);
@@ -169,17 +169,17 @@
     };
   }
 
-  /** Whether a planned stop is under way. */
+  /** Whether a planned stop is in progress. */
   get stopping(): boolean {
     return this._stopping;
   }
 
-  /** Requests and offers in flight. */
+  /** Number of requests and offers in flight. */
   get inFlight(): number {
     return this.calls.inFlight + this.offers.inFlight;
   }
 
-  /** Learns configuration and members, and starts to take part. The server listens already. */
+  /** Loads configuration and members, and starts the periodic work. The server must listen already. */
   async start(): Promise<void> {
     this.members.start();
     const { source, version } = await runProcedure(coldStart(this.config.fold, kColdStartRounds), {
@@ -189,7 +189,7 @@
       queryPeers: () => this._queryPeers(),
       sleep: ({ ms }) => pause(ms),
     });
-    this.logger.info('start', `Started with configuration version ${version} from ${source}.`, { version, source });
+    this.logger.info('start', `Started with configuration version ${version} from source "${source}".`, { version, source });
     this.config.start();
     void this.suspects.fetchFromPeers();
     this._timers = [
@@ -205,7 +205,7 @@
     ];
   }
 
-  /** Planned stop: resolves once nothing is in flight, or the limit of the settings passed. */
+  /** Stops as planned. Resolves when nothing is in flight, or after the time limit `stopMs`; `cut` calls were then still in flight. */
   async stop(): Promise<{ cut: number }> {
     if (this._stopping) {
       return { cut: 0 };
@@ -234,11 +234,13 @@
         appendMember: () => this._appendMember(true),
       },
     );
-    this.logger.info('stop', cut === 0 ? 'Nothing was cut.' : `Cut ${cut} calls at the limit of the settings.`, { cut });
+    this.logger.info('stop', cut === 0 ? 'All calls completed before the stop.' : `Interrupted ${cut} calls after the time limit stopMs.`, {
+      cut,
+    });
     return { cut };
   }
 
-  /** Ends timers and connections. */
+  /** Clears timers and closes connections. */
   async close(): Promise<void> {
     this._timers.forEach((timer) => {
       clearInterval(timer);
@@ -290,7 +292,7 @@
     this._updateSelf({ target, service, slots, targetState: this.target.state });
   }
 
-  /** Changes the own record, and tells some others at once. */
+  /** Changes the local daemon's record, and sends it to some daemons at once if it differs. */
   private _updateSelf(change: Partial<Member>): void {
     const before = this.members.view.self.revision;
     this.members.view.update(change, monotonicMs());
@@ -348,7 +350,7 @@
     }
   }
 
-  /** After a pause: the log may have gone on, and what others think of this daemon may be wrong. */
+  /** After a pause, reads the log and sends the local record, as other daemons may consider this one dead. */
   private _onResume(ms: number): void {
     this.logger.warn('members', `The process was paused for about ${Math.round(ms)} ms.`, { ms });
     void this.config.read();
@@ -416,7 +418,7 @@
     }
     const { senders } = this.acceptedOffers;
     if (senders.length > 0) {
-      this.logger.warn('stop', `${senders.length} daemons have not said that they have no open offers here.`, { senders });
+      this.logger.warn('stop', `${senders.length} daemons did not confirm that they have no open offers at this daemon.`, { senders });
     }
     return { senders: senders.length };
   }
--- a/packages/daemon/src/app/decisionLog.ts
+++ b/packages/daemon/src/app/decisionLog.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The decisions of the latest requests: logged as they are made, and kept for `gentiandrum explain`. */
+/** Logs routing and admission decisions, and stores those of the latest requests for `gentiandrum explain`. */
 
 import { wallMs } from '@gentiandrum/core';
 import type { Logger } from './logger.js';
@@ -12,7 +12,7 @@
 const kMaxRequests = 2_000;
 const kMaxDecisionsPerRequest = 64;
 
-/** One decision as it is kept and told. */
+/** One decision, as it is logged and returned by `gentiandrum explain`. */
 export interface LoggedDecision {
   request: string;
   step: string;
@@ -24,7 +24,7 @@
   at?: number;
 }
 
-/** Log of decisions. */
+/** The decisions of the latest requests. */
 export class DecisionLog {
   private readonly _requests = new Map<string, LoggedDecision[]>();
 
@@ -33,7 +33,7 @@
     private readonly _metrics: Metrics,
   ) {}
 
-  /** Logs a decision and keeps it. */
+  /** Logs, counts and stores a decision. */
   add(decision: LoggedDecision): void {
     const { step, reason, target, cls } = decision;
     const part = step === 'gate' ? 'gate' : 'route';
@@ -46,7 +46,7 @@
     this._store({ ...decision, at: wallMs() });
   }
 
-  /** The kept decisions of a request. */
+  /** The stored decisions of a request; empty for an unknown request. */
   forRequest(request: string): LoggedDecision[] {
     return this._requests.get(request) ?? [];
   }
--- a/packages/daemon/src/app/digests.ts
+++ b/packages/daemon/src/app/digests.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Hashes: SHA-256 where equality must mean sameness, xxHash where only spread matters. */
+/** Hash functions: SHA-256 where collisions would be harmful, xxHash elsewhere. */
 
 import { createHash } from 'node:crypto';
 import xxhash from 'xxhash-wasm';
@@ -11,7 +11,7 @@
 const kDigestBytes = 16;
 const kXxhash = await xxhash();
 
-/** Digest of some parts, as base64url text of 128 bits. */
+/** SHA-256 of length-prefixed parts, truncated to 128 bits, in base64url. */
 export function digestOf(...parts: (string | Uint8Array)[]): string {
   const hash = createHash('sha256');
   for (const part of parts) {
@@ -21,22 +21,22 @@
   return hash.digest().subarray(0, kDigestBytes).toString('base64url');
 }
 
-/** Digest of one text, whole, as hex. */
+/** SHA-256 of a text, in hex. */
 export function hexDigest(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** 32-bit hash for spreading. */
+/** 32-bit xxHash, for sharding and ranking. */
 export function hash32(text: string): number {
   return kXxhash.h32(text);
 }
 
-/** 64-bit hash of bytes, as text. */
+/** 64-bit xxHash of bytes, in base 36; empty for no bytes. */
 export function hashBytes64(bytes: Uint8Array): string {
   return bytes.byteLength === 0 ? '' : kXxhash.h64Raw(bytes).toString(36);
 }
 
-/** 64-bit hash of a text, as text. */
+/** 64-bit xxHash of a text, in base 36. */
 export function hash64(text: string): string {
   return kXxhash.h64(text).toString(36);
 }
--- a/packages/daemon/src/app/idGenerator.ts
+++ b/packages/daemon/src/app/idGenerator.ts
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Ids of requests and attempts: unique without agreement, and telling which daemon gave them. */
+/** Generates ids of requests and attempts. They contain the daemon's id and incarnation, so they are unique across daemons. */
 
-/** Gives ids for one run of a daemon. */
+/** Generates ids for one incarnation of a daemon. */
 export class IdGenerator {
   private _sequence = 0;
   private readonly _prefix: string;
@@ -14,7 +14,6 @@
     this._prefix = `${daemon}~${incarnation.toString(36)}~`;
   }
 
-  /** A new id. */
   next(): string {
     this._sequence++;
     return this._prefix + this._sequence.toString(36);
--- a/packages/daemon/src/app/idempotencyKey.ts
+++ b/packages/daemon/src/app/idempotencyKey.ts
@@ -3,21 +3,20 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Text of the `Idempotency-Key` header. */
+/** Parses the `Idempotency-Key` header. */
 
 const kMaxLength = 255;
-/** Numbered keys of a minted namespace look like `daemon.incarnation.number/sequence`. */
+/** Key in a namespace that a daemon minted: `daemon.incarnation.number/sequence`. */
 const kMintedKey = /^"?((?<owner>[a-z0-9][a-z0-9._-]*)\.(?<incarnation>[0-9a-z]+)\.[0-9a-z]+)\/(?<sequence>\d{1,9})"?$/;
 const kPrintableAscii = /^[\x20-\x7e]+$/;
 
-/** What a key's text says. */
+/** Parsed header: `own` keys are chosen by the caller, `minted` keys are numbered in a minted namespace. */
 export type ParsedKey =
   | { kind: 'none' }
   | { kind: 'bad' }
   | { kind: 'own'; text: string }
   | { kind: 'minted'; namespace: string; owner: string; incarnation: number; sequence: number };
 
-/** Reads the text of a key. */
 export function parseIdempotencyKey(text: string | undefined): ParsedKey {
   if (text === undefined) {
     return { kind: 'none' };
--- a/packages/daemon/src/app/loadSettings.ts
+++ b/packages/daemon/src/app/loadSettings.ts
@@ -3,24 +3,23 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Reads and checks the daemon's settings. */
+/** Loads and validates the daemon's settings. */
 
 import { readFileSync } from 'node:fs';
 import { Err, Ok, type Result } from '@gentiandrum/core';
 import { type Settings, settingsSchema } from '@gentiandrum/protocol';
 import { parse } from 'yaml';
 
-/** One fault of a settings file. */
+/** One error in a settings file. */
 export interface SettingsError {
   /** Dotted path of the setting; empty for the file as a whole. */
   path: string;
-  /** What was expected. */
   expected: string;
-  /** What came, as JSON. */
+  /** The actual value as JSON, `nothing` if it is missing, or the message of a read error. */
   got: string;
 }
 
-/** Reads a settings file; gives all its faults at once if there are any. */
+/** Loads a settings file; returns all errors at once if it is invalid. */
 export function loadSettings(file: string): Result<Settings, SettingsError[]> {
   let value: unknown;
   try {
@@ -41,7 +40,7 @@
   );
 }
 
-/** Text of a fault for people. */
+/** Human-readable text of an error. */
 export function formatSettingsError(error: SettingsError): string {
   const location = error.path === '' ? 'file' : error.path;
   return `${location}: ${error.expected}; got ${error.got}`;
--- a/packages/daemon/src/app/localTarget.ts
+++ b/packages/daemon/src/app/localTarget.ts
@@ -3,22 +3,23 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The target on this host: its announcements, its gate, and whether it takes new work. */
+/** The target on this host: its announcements, its gate, and whether it accepts requests. */
 
 import { Gate, type GateCall, type GateEvents, monotonicMs, type TargetState } from '@gentiandrum/core';
 import type { Announcement, TargetIntake } from '@gentiandrum/protocol';
 import type { Logger } from './logger.js';
 
-/** What the target's state follows from. */
+/** Inputs that determine the state of a target that announces itself. */
 interface StateInputs {
-  /** The target's own word. */
+  /** Whether the target announced that it accepts requests. */
   accepting: boolean;
-  /** The operator's word. */
+  /** Intake that the operator configured. */
   intake: TargetIntake;
+  /** Whether the daemon stops. */
   stopping: boolean;
 }
 
-/** The target on this daemon's host. */
+/** Tracks the target on this host. */
 export class LocalTarget {
   private _announcement: Announcement | undefined;
   private _announcedAt = -Infinity;
@@ -44,12 +45,12 @@
     return this._gate;
   }
 
-  /** State as others are told. */
+  /** State that is published to other daemons. */
   get state(): TargetState {
     return this._state;
   }
 
-  /** Takes an announcement. A target that comes back after silence, or under another name, is cold. */
+  /** Processes an announcement. A target with another name, service or address gets a new gate. */
   announce(announcement: Announcement): void {
     const now = monotonicMs();
     const previous = this._announcement;
@@ -58,7 +59,7 @@
       this._gate?.close('no_target');
       this._gate = new Gate(announcement.slots, this._favour, this._gateEvents, now);
       this._applyToGate(this._state);
-      this._logger.info('target', `${announcement.target} announced itself.`, { ...announcement });
+      this._logger.info('target', `Target ${announcement.target} announced itself.`, { ...announcement });
     }
     this._announcement = announcement;
     this._announcedAt = now;
@@ -70,19 +71,19 @@
     }
   }
 
-  /** Takes the operator's word. */
+  /** Sets the intake that the operator configured. */
   setIntake(intake: TargetIntake): void {
     this._inputs.intake = intake;
     this._updateState();
   }
 
-  /** The daemon stops: nothing new is taken from now on. */
+  /** Refuses new requests because the daemon stops. */
   stop(): void {
     this._inputs.stopping = true;
     this._updateState();
   }
 
-  /** Notices when announcements stop. */
+  /** Checks whether announcements have timed out; called periodically. */
   tick(): void {
     this._updateState();
   }
@@ -95,7 +96,10 @@
     const before = this._state;
     this._state = state;
     this._applyToGate(state);
-    this._logger.info('target', `${this._announcement?.target ?? 'target'} goes from ${before} to ${state}.`, { ...this._inputs, state });
+    this._logger.info('target', `State of ${this._announcement?.target ?? 'target'} changed from ${before} to ${state}.`, {
+      ...this._inputs,
+      state,
+    });
     this._onStateChange();
   }
 
--- a/packages/daemon/src/app/logger.ts
+++ b/packages/daemon/src/app/logger.ts
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Structured logs: one JSON object a line on standard output. */
+/** Structured logging: one JSON object per line on standard output. */
 
 import { createLogger, format, type Logger as WinstonLogger, transports } from 'winston';
 
-/** Parts of the daemon, the fixed prefixes of its log lines. */
+/** Part of the daemon that writes a log line; the prefix of its message. */
 export type LogPart = 'config' | 'gate' | 'http' | 'keys' | 'log' | 'members' | 'quarantine' | 'route' | 'start' | 'stop' | 'target';
-/** Values that go with a line. */
+/** Additional fields of a log line. */
 export type LogFields = Record<string, unknown>;
 
 /** Writes log lines of one daemon. */
@@ -23,28 +23,26 @@
     this._winston = createLogger({
       level,
       format: format.combine(format.timestamp(), format.json()),
-      // The rule takes winston's own subclass for a stranger: its types come from two copies of one declaration.
+      // The rule does not recognize the subclass, because winston's types come from two copies of one declaration.
       // eslint-disable-next-line @typescript-eslint/no-unsafe-class-instance-assignment
       transports: [new transports.Console()],
     });
   }
 
-  /** Writes a line of ordinary interest. */
   info(part: LogPart, text: string, fields: LogFields = {}): void {
     this._write('info', part, text, fields);
   }
 
-  /** Writes a line of interest only to developers. */
   debug(part: LogPart, text: string, fields: LogFields = {}): void {
     this._write('debug', part, text, fields);
   }
 
-  /** Writes a line about something that an operator may have to look at. */
+  /** Logs an event that may need an operator's attention. */
   warn(part: LogPart, text: string, fields: LogFields = {}): void {
     this._write('warn', part, text, fields);
   }
 
-  /** Writes a line about a fault of the daemon itself. */
+  /** Logs an internal error of the daemon. */
   error(part: LogPart, text: string, fields: LogFields = {}): void {
     this._write('error', part, text, fields);
   }
--- a/packages/daemon/src/app/memberService.ts
+++ b/packages/daemon/src/app/memberService.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Keeps the membership view: pings others, answers their pings, and notices when the process was paused. */
+/** Maintains the membership view: pings other daemons, responds to their pings, and detects pauses of the process. */
 
 import { type Member, type MemberView, monotonicMs, provesNeverTaken } from '@gentiandrum/core';
 import type { PeerClient, Pong } from '../client/peerClient.js';
@@ -11,25 +11,25 @@
 import type { OpenOffers } from './openOffers.js';
 
 const kPingPeriodMs = 1_000;
-/** A period that took this long means that the process was paused. */
+/** Duration of a period from which the process counts as paused, in milliseconds. */
 const kPauseThresholdMs = 2_500;
+/** Number of daemons in the zone that an update is sent to; one more is drawn from all zones. */
 const kUpdateFanout = 3;
-/** Periods after which the whole view of another daemon is fetched, against whatever pings did not carry. */
+/** Number of periods between fetches of another daemon's whole view, which contains changes that pings have missed. */
 const kPeriodsPerFetch = 60;
-/** Pause before others are asked again for the record of a daemon that ended, in milliseconds. */
+/** Minimum time between queries for the record of one daemon, in milliseconds. */
 const kRecordQueryPeriodMs = 1_000;
-/** Times that a daemon which leaves tries to reach those who keep its last record; a ping waits half a second at most. */
+/** Maximum number of rounds in which a leaving daemon pings the holders of its last record. */
 const kMaxLeaveRounds = 3;
-/** Keepers of it that may be left untold: one that stands still would hold up the stop. */
+/** Number of holders that may remain without the record, so that one paused daemon does not delay the stop. */
 const kMaxUnnotifiedHolders = 1;
 
-/** What others do with membership news. */
+/** Callbacks for membership changes. */
 export interface MemberEvents {
-  /** A ping or an answer told a configuration version ahead of the own one. */
+  /** Another daemon reported a newer configuration version than the local one. */
   onNewerConfig(from: string): void;
-  /** The view changed. */
   onChange(): void;
-  /** The process was paused for about that long. */
+  /** The process was paused for about `ms` milliseconds. */
   onPause(ms: number): void;
 }
 
@@ -39,7 +39,7 @@
   private _lastTick = monotonicMs();
   private _notifiedChangeCount = -1;
   private _periods = Math.floor(Math.random() * kPeriodsPerFetch);
-  /** Latest questions for the records of others, by their ids. */
+  /** Recent queries for the records of other daemons, by id. */
   private readonly _recordQueries = new Map<string, { at: number; done: Promise<void> }>();
 
   constructor(
@@ -50,7 +50,7 @@
     private readonly _openOffers: OpenOffers,
   ) {}
 
-  /** Starts to ping. */
+  /** Starts pinging. */
   start(): void {
     this._lastTick = monotonicMs();
     this._timer = setInterval(() => {
@@ -58,12 +58,12 @@
     }, kPingPeriodMs);
   }
 
-  /** Stops to ping. */
+  /** Stops pinging. */
   stop(): void {
     clearInterval(this._timer);
   }
 
-  /** Answers a ping. */
+  /** Processes a ping and returns the response. */
   onPing(from: string, configVersion: number, changes: Member[]): Pong {
     this._merge(changes);
     const now = monotonicMs();
@@ -74,7 +74,7 @@
     return { configVersion: self.configVersion, changes: [self, ...this.view.takeChanges()], openOffers: this._openOffers.countFor(from) };
   }
 
-  /** A call could not connect to a daemon: it is suspected at once, and pinged. */
+  /** Suspects a daemon that a call could not connect to, and pings it. */
   suspectUnreachable(id: string): void {
     const member = this.view.get(id);
     if (member?.state === 'alive') {
@@ -84,18 +84,18 @@
     }
   }
 
-  /** Takes records that came otherwise, such as from a seed. */
+  /** Merges records from another source than a ping, without sending them on. */
   mergeRecords(members: Member[]): void {
     this._merge(members, false);
     this._notify();
   }
 
-  /** Tells some others at once of what changed. */
+  /** Sends recent changes to some random daemons at once. */
   async sendUpdate(): Promise<void> {
     await this._pingAll([...this.view.sampleAlive(kUpdateFanout, this.view.self.zone), ...this.view.sampleAlive(1)]);
   }
 
-  /** Tells the same of a leave, and again to those who keep the last record until nearly all know it. */
+  /** Like {@link sendUpdate}, and sends the last record to its holders, repeatedly until nearly all have it. */
   async sendLeave(): Promise<void> {
     const [, unnotifiedHolders] = await Promise.all([this.sendUpdate(), this._pingAll(this.view.recordHoldersOf(this.view.self.id))]);
     let unnotified = unnotifiedHolders;
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Whether a daemon left and proved that it never took an attempt. When its record isn't known here, as may be after a pause of this
-   * process, others are asked for it.
+   * Whether a daemon left and proved that it never accepted an attempt. If the known record is no proof, as may be the case after a pause
+   * of this process, queries the holders of the record.
    */
   async neverAccepted(id: string, incarnation: number, attempt: string): Promise<boolean> {
     if (provesNeverTaken(this.view.get(id), incarnation, attempt)) {
@@ -116,12 +116,12 @@
     return provesNeverTaken(this.view.get(id), incarnation, attempt);
   }
 
-  /** Pings one daemon; true when it answered. */
+  /** Pings one daemon; returns whether it responded. */
   async ping(member: Member): Promise<boolean> {
     return (await this._ping(member)) !== undefined;
   }
 
-  /** Tells daemons that this one leaves; returns those that know it, and have no open offers here. */
+  /** Pings senders of offers with the local record; returns those that responded and have no open offers at this daemon. */
   async requestRelease(senders: readonly string[]): Promise<string[]> {
     const members = senders.flatMap((id) => this.view.get(id) ?? []);
     const pongs = await Promise.all(members.map((member) => this._ping(member)));
@@ -166,7 +166,7 @@
     }
   }
 
-  /** At most one question a second for each daemon: when one crashes, many offers are lost at once. */
+  /** Limits queries to one per period and daemon, because a crash of a daemon loses many offers at once. */
   private _queryRecord(id: string): Promise<void> {
     const now = monotonicMs();
     for (const [other, { at }] of this._recordQueries) {
@@ -187,7 +187,7 @@
     this.mergeRecords(views.flatMap((members) => members ?? []));
   }
 
-  /** Pings daemons; returns those that did not answer. */
+  /** Pings daemons; returns those that did not respond. */
   private async _pingAll(members: readonly Member[]): Promise<Member[]> {
     const responded = await Promise.all(members.map((member) => this.ping(member)));
     return members.filter((_, at) => responded[at] !== true);
--- a/packages/daemon/src/app/metrics.ts
+++ b/packages/daemon/src/app/metrics.ts
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Metrics over statsd. Names and tags are listed in docs/OPERATORS.md. */
+/** Sends metrics to statsd. Names and tags are listed in docs/OPERATORS.md. */
 
 import { StatsD } from 'hot-shots';
 
 const kSampleRate = 1;
 
-/** Metrics of one daemon. Without an address nothing is sent. */
+/** Metrics of one daemon. Without an address, metrics are not sent. */
 export class Metrics {
   private readonly _statsd: StatsD;
 
@@ -26,12 +26,12 @@
     });
   }
 
-  /** Counts an event. */
+  /** Increments a counter. */
   count(name: string, tags: Record<string, string> = {}, increment = 1): void {
     this._statsd.increment(name, increment, kSampleRate, tags);
   }
 
-  /** Sets a level. */
+  /** Sets a gauge. */
   gauge(name: string, value: number, tags: Record<string, string> = {}): void {
     this._statsd.gauge(name, value, kSampleRate, tags);
   }
@@ -41,7 +41,7 @@
     this._statsd.timing(name, ms, kSampleRate, tags);
   }
 
-  /** Sends what is buffered, and closes the socket. */
+  /** Sends buffered metrics and closes the socket. */
   close(): void {
     this._statsd.close(() => undefined);
   }
--- a/packages/daemon/src/app/offerService.ts
+++ b/packages/daemon/src/app/offerService.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The gate's side of a call: takes offers, forwards what starts to the target, and cancels. */
+/** Receives offers for the target on this host, passes them through the gate, and forwards admitted calls to the target. */
 
 import {
   type AdmissionResult,
@@ -31,14 +31,14 @@
 import type { LocalTarget } from './localTarget.js';
 import type { SuspectOffers } from './suspectOffers.js';
 
-/** Attempts remembered, so that a second delivery of one is noticed. */
+/** Maximum number of attempt ids stored to detect duplicate deliveries. */
 const kMaxSeenAttempts = 20_000;
 
 interface Forwarding {
   cancel: () => void;
 }
 
-/** What the service uses of its daemon. */
+/** Parts of the daemon that {@link OfferService} depends on. */
 export interface OfferDeps {
   incarnation: number;
   maxBodyBytes: number;
@@ -52,7 +52,7 @@
   favour: () => 'goodput' | 'recovery';
 }
 
-/** Gate side of one daemon. */
+/** Offers at the gate of one daemon. */
 export class OfferService implements GateEvents<GateCall> {
   private readonly _pendingAdmissions = new Map<string, (result: AdmissionResult) => void>();
   private readonly _forwarding = new Map<string, Forwarding>();
@@ -65,7 +65,7 @@
     this._downstream = new RootFilter(_deps.favour, kGateReopenPolicy);
   }
 
-  /** Offers that are being handled. */
+  /** Number of offers in progress. */
   get inFlight(): number {
     return this._terms.size;
   }
@@ -78,7 +78,7 @@
     this._resolveAdmission(call.id, { kind: 'shed', reason });
   }
 
-  /** Takes an offer through the gate. */
+  /** Passes an offer through the gate and, once admitted, forwards it to the target. */
   async offer(terms: OfferTerms, payload: Payload): Promise<OfferResult> {
     const { target, ledger, decisions, suspects } = this._deps;
     const local = target();
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Cancels an attempt. `before_start`: it has not started and never will. */
+  /** Cancels an attempt. `before_start` guarantees that it has not started and never will. */
   cancel(attempt: string): 'before_start' | 'started' {
     const { gate } = this._deps.target();
     if (gate?.cancel(attempt)) {
@@ -137,7 +137,7 @@
     return 'started';
   }
 
-  /** True for the first delivery of an attempt. */
+  /** Records an attempt; true for its first delivery. */
   private _markSeen(attempt: string): boolean {
     if (this._seen.has(attempt)) {
       return false;
@@ -193,14 +193,14 @@
     });
   }
 
-  /** The end of a run, once it is known what it says of the call's kind. */
+  /** Updates the suspicion of the call's fingerprint, then returns the result of the run. */
   private async _finishForward(
     attempt: string,
     end: ExchangeEnd,
     abortReason: 'timeout' | 'cancelled' | undefined,
   ): Promise<ForwardResult> {
     const { suspects } = this._deps;
-    // A failure may have come before the work that ends the target.
+    // A failed response doesn't clear the fingerprint: the call may have failed before the work that crashes the target.
     if (end.kind === 'answered' && end.status < 500) {
       suspects.completed(attempt);
     }
@@ -235,7 +235,7 @@
   }
 }
 
-/** Whoever sends the call on should know what is held against its kind, also before word of it has come. */
+/** Attaches the known suspicion to a failure or refusal, as the sender may not have received it yet when it retries. */
 function withSuspicion(result: OfferResult, lookUp: () => Suspicion | undefined): OfferResult {
   if (result.kind !== 'failed' && result.kind !== 'refused') {
     return result;
--- a/packages/daemon/src/app/openOffers.ts
+++ b/packages/daemon/src/app/openOffers.ts
@@ -3,23 +3,23 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Offers of this daemon at others that have no end yet, counted by daemon. */
+/** Counts the offers sent by this daemon that have no result yet. */
 
-/** Counts them. */
+/** Number of open offers by receiving daemon. */
 export class OpenOffers {
   private readonly _counts = new Map<string, number>();
 
-  /** Open offers at a daemon. */
+  /** Number of open offers at a daemon. */
   countFor(daemon: string): number {
     return this._counts.get(daemon) ?? 0;
   }
 
-  /** Notes that one was sent. */
+  /** Records that an offer was sent. */
   sent(daemon: string): void {
     this._counts.set(daemon, this.countFor(daemon) + 1);
   }
 
-  /** Notes that one ended. */
+  /** Records that an offer has a result. */
   ended(daemon: string): void {
     const remaining = this.countFor(daemon) - 1;
     if (remaining > 0) {
--- a/packages/daemon/src/app/peerCodec.ts
+++ b/packages/daemon/src/app/peerCodec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Between the core's records and the messages of the peer protocol. */
+/** Converts between the core's records and the messages of the peer protocol. */
 
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import type { Member, MemberState, ServeResult, Suspicion, TargetState } from '@gentiandrum/core';
@@ -23,7 +23,6 @@
 };
 const kTargetStates: Record<TargetState, TargetMsg> = { absent: TargetMsg.ABSENT, serving: TargetMsg.SERVING, leaving: TargetMsg.LEAVING };
 
-/** Member → message. */
 export function encodeMember(member: Member): MemberMsg {
   const fields: MessageInitShape<typeof MemberSchema> = {
     ...member,
@@ -36,7 +35,7 @@
   return create(MemberSchema, fields);
 }
 
-/** Message → member. */
+/** Decodes a member; unknown states become `suspect` and `absent`. */
 export function decodeMember(msg: MemberMsg): Member {
   const { id, revision, address, zone, region, target, service, slots } = msg;
   return {
@@ -56,7 +55,6 @@
   };
 }
 
-/** Message → suspicion. */
 export function decodeSuspicion({ fingerprint, screen, route, marks }: SuspicionMsg): Suspicion {
   return {
     fingerprint,
@@ -66,7 +64,7 @@
   };
 }
 
-/** Recorded end → its JSON part and its body. */
+/** Encodes a recorded result as JSON, with the body separate. */
 export function encodeServeResult(served: ServeResult): { served: string; body: Uint8Array } {
   if (served.kind === 'error') {
     return { served: JSON.stringify(served), body: new Uint8Array() };
@@ -75,7 +73,7 @@
   return { served: JSON.stringify({ kind: 'answer', answer: { status, headers } }), body };
 }
 
-/** JSON part and body → recorded end. */
+/** Decodes the result of {@link encodeServeResult}. */
 export function decodeServeResult(text: string, body: Uint8Array): ServeResult {
   const served = JSON.parse(text) as ServeResult;
   return served.kind === 'error' ? served : { kind: 'answer', answer: { ...served.answer, body } };
--- a/packages/daemon/src/app/suspectOffers.ts
+++ b/packages/daemon/src/app/suspectOffers.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Offers as far as suspects are concerned: which wait for others, and which ran when the target of this host ended. */
+/** Applies the suspect gate to offers, and reports the offers that were in flight when the target on this host crashed. */
 
 import {
   hashText,
@@ -23,24 +23,24 @@
 import { probeTarget } from '../client/targetProbe.js';
 import type { Logger } from './logger.js';
 
-/** Share of the time that is left for which a suspect may wait for others of its kind. */
+/** Share of an offer's remaining time for which it may wait for requests with the same fingerprint. */
 const kWaitShare = 0.5;
-/** How often waiting suspects are looked at, in milliseconds. */
+/** Period with which waiting suspects are checked for expiry, in milliseconds. */
 const kExpiryPeriodMs = 20;
-/** Time for the other connections of an ended target to bring what was on its way, in milliseconds. */
+/** Time for responses in transit on other connections of a crashed target to arrive, in milliseconds. */
 const kDrainMs = 5;
 
-/** What the offers use of their daemon. */
+/** Parts of the daemon that {@link SuspectOffers} depends on. */
 export interface SuspectOffersDeps {
   suspects: Suspects;
   logger: Logger;
-  /** Name and base address of the target on this host; undefined while there is none. */
+  /** Name and base address of the target on this host; undefined before its first announcement. */
   target: () => { name: string; url: string } | undefined;
-  /** Targets that take work for a service, by name. */
+  /** Names of the targets that accept requests for a service. */
   targets: (service: string) => string[];
 }
 
-/** One offer at the gate. */
+/** One offer at the suspect gate. */
 class SuspectOffer implements SuspectCall {
   readonly route: string;
   readonly suspicion: Suspicion | undefined;
@@ -60,7 +60,7 @@
   readonly identity = (): RequestIdentity => requestIdentity(this.service, this._payload);
 }
 
-/** Suspects at the gate of one daemon. */
+/** Offers at the suspect gate of one daemon. */
 export class SuspectOffers {
   private readonly _gate: SuspectGate<SuspectOffer>;
   private readonly _offers = new Map<string, SuspectOffer>();
@@ -80,7 +80,7 @@
     });
   }
 
-  /** Lets an offer through, now or when others have ended; resolves with why it is refused. */
+  /** Waits until an offer may pass; resolves to the reason if it is refused, else to undefined. */
   async enter(terms: OfferTerms, payload: Payload): Promise<SuspectRefusal | undefined> {
     const offer = new SuspectOffer(terms.service, terms, payload);
     const decision = this._gate.offer(offer);
@@ -101,12 +101,12 @@
     return undefined;
   }
 
-  /** What is held against the kind of an offer. */
+  /** The known suspicion of an offer's fingerprint; undefined when there is none. */
   suspicionOf({ service }: OfferTerms, payload: Payload): Suspicion | undefined {
     return this._deps.suspects.assess(() => requestIdentity(service, payload))?.suspicion;
   }
 
-  /** An offer is over, whether it ran or not. */
+  /** Removes an offer that is over, whether or not it ran. */
   leave(attempt: string): void {
     const offer = this._offers.get(attempt);
     if (offer) {
@@ -116,7 +116,7 @@
     }
   }
 
-  /** An offer begins to run at the target. */
+  /** Records that an offer is in flight at the target. */
   started(attempt: string): void {
     const offer = this._offers.get(attempt);
     if (offer) {
@@ -124,7 +124,7 @@
     }
   }
 
-  /** The target answered an offer with something other than a failure. */
+  /** Records that the target completed an offer without a server error. */
   completed(attempt: string): void {
     const offer = this._offers.get(attempt);
     if (offer) {
@@ -132,7 +132,7 @@
     }
   }
 
-  /** The connection of a running offer ended without an answer: resolves once it is known whether the target did. */
+  /** Handles a connection that closed without a complete response: checks whether the target crashed, and reports the crash. */
   async onConnectionLost(): Promise<void> {
     const target = this._deps.target();
     if (target) {
@@ -150,7 +150,7 @@
     }
     await new Promise((resolve) => setTimeout(resolve, kDrainMs));
     const at = wallMs();
-    this._deps.logger.warn('quarantine', 'The target ended while calls ran on it.', { target: name, running: running.length });
+    this._deps.logger.warn('quarantine', 'The target crashed with calls in flight.', { target: name, running: running.length });
     this._gate.crashed(
       { id: hashText(`${name} ${at}`), at },
       running.map((offer) => ({ identity: offer.identity(), route: offer.route, call: offer })),
--- a/packages/daemon/src/app/suspectService.ts
+++ b/packages/daemon/src/app/suspectService.ts
@@ -3,18 +3,18 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Kinds of calls that targets may have ended by: how this daemon tells others, asks them, and logs what becomes of them. */
+/** Exchanges suspicions with other daemons and logs their changes. */
 
 import { crashesOf, type MemberView, type SuspectEvent, Suspects, type Suspicion } from '@gentiandrum/core';
 import type { PeerClient } from '../client/peerClient.js';
 import type { Logger } from './logger.js';
 
-/** Daemons that are told at once, drawn anew each time; they pass it on, so a fleet of hundreds has heard within three rounds. */
+/** Number of random daemons that a local change is sent to; these forward it. */
 const kBroadcastFanout = 32;
-/** Daemons that one which starts asks. */
+/** Number of daemons that a starting daemon queries. */
 const kInitialPeers = 3;
 
-/** Suspects of one daemon, and the others. */
+/** Connects the suspicions of this daemon to those of its peers. */
 export class SuspectService {
   readonly suspects: Suspects;
 
@@ -36,13 +36,13 @@
     });
   }
 
-  /** Takes what another daemon tells; returns what is known here. */
+  /** Merges suspicions that another daemon sent; returns the locally known ones. */
   mergeFromPeer(suspects: readonly Suspicion[]): Suspicion[] {
     this.suspects.mergeFromPeer(suspects);
     return this.suspects.snapshot;
   }
 
-  /** Asks some daemons for what they know. */
+  /** Fetches the suspicions that some other daemons know. */
   async fetchFromPeers(): Promise<void> {
     await this._exchange(kInitialPeers, []);
   }
@@ -60,7 +60,7 @@
       case 'quarantined': {
         const { fingerprint, route } = event.suspicion;
         const ends = crashesOf(event.suspicion);
-        this._logger.warn('quarantine', `A kind of call is held back: ${ends} targets ended by it.`, {
+        this._logger.warn('quarantine', `Quarantined a request fingerprint: ${ends} targets crashed with such a request in flight.`, {
           kind: fingerprint,
           cls: route,
           ends,
@@ -68,10 +68,13 @@
         return;
       }
       case 'cleared':
-        this._logger.info('quarantine', 'A call of a suspected kind ran to its end.', { kind: event.fingerprint, before: event.before });
+        this._logger.info('quarantine', 'A request with a suspected fingerprint completed.', {
+          kind: event.fingerprint,
+          before: event.before,
+        });
         return;
       case 'released':
-        this._logger.warn('quarantine', 'A kind of call was released.', { kind: event.fingerprint });
+        this._logger.warn('quarantine', 'A request fingerprint was released.', { kind: event.fingerprint });
         return;
     }
   }
--- a/tests/e2e/stops.spec.ts
+++ b/tests/e2e/stops.spec.ts
@@ -120,7 +120,7 @@
     await fleet.setLogFaults({});
     t.is(code, 0);
     t.deepEqual([...callers.lost, ...holdCallers.lost], [], fleet.linesAbout([...callers.lost, ...holdCallers.lost]));
-    t.true(fleet.host('b2').logs.some((line) => line.includes('Nothing was cut.')));
+    t.true(fleet.host('b2').logs.some((line) => line.includes('All calls completed before the stop.')));
     await fleet.startHost({ id: 'b2', zone: 'west', service: 'beta', behaviour: { workMs: 5 } }, {}, fleet.host('b2').address);
     await fleet.untilTargets('beta', 3);
   });
