--- a/tests/e2e/leavingDaemon.spec.ts
+++ b/tests/e2e/leavingDaemon.spec.ts
@@ -4,19 +4,8 @@
  */
 
 /**
- * Offers that cross the end of a daemon that stops as planned.
- *
- * Daemons keep connections to each other. A sender that gets no processor time for a second or two holds a call that it has placed with
- * a target, and has not written yet. Meanwhile the daemon there stops as planned, answers all that it took, and closes its connections.
- * The sender goes on, writes, and finds the connection closed: "other side closed". Nothing told it whether the offer was taken, so the
- * call ended as `attempt_lost`, 502, after one offer, though no daemon had ever seen it.
- *
- * The lines that showed it: a1 logged "route to b2-target" 3 ms before it stood still, b2 "Nothing was cut." 0.8 s later and never a
- * line of that request, a1 the error 25 ms after it went on. Four of five trials lost a hold like this.
- *
- * Two promises keep it from happening. Who leaves asks each daemon that keeps a connection for offers, and waits a while until it says
- * that it has none open and sends none any more. And its last record names the offers whose senders have not said so and may not know
- * their ends: whoever lost an offer that it doesn't name knows that it was never taken.
+ * Planned stops of a daemon while other daemons keep connections to it. Guards against `attempt_lost` for an offer that a paused sender
+ * writes to a connection that the stopped daemon has closed, and against a stop that waits for unused connections.
  */
 
 import { once } from 'node:events';
@@ -27,19 +16,20 @@
 import { kSampleConfig } from '../support/sampleConfig.js';
 
 const kCallers = 24;
-/** Calls that are answered between two stops. */
+/** Number of responses to wait for before each stop. */
 const kResponsesBetweenStops = 100;
-/** Daemons of `beta` that stop in turn, and daemons without a target, which make it unlikely that a ping finds a leaver gone first. */
+/** Daemons of `beta` that stop in turn. */
 const kStoppedDaemons = ['b2', 'b3', 'b4'];
+/** Daemons without a target; they make it unlikely that a ping detects a stopped daemon before an offer does. */
 const kOtherDaemons = ['c1', 'c2', 'c3', 'c4', 'c5'];
 
-/** Holds may take as long as the sender stands still: what ends at its deadline says nothing of the offer. */
+/** With a deadline longer than the pause of the sender, because a call that times out proves nothing about its offer. */
 const kLongDeadlineConfig = {
   ...kSampleConfig,
   classes: { ...kSampleConfig.classes, 'beta-hold': { ...kSampleConfig.classes['beta-hold'], deadlineMs: 60_000 } },
 };
 
-/** Callers that file one hold after another through one daemon, and note each end that may have run. */
+/** Callers that place holds through one daemon, and record each failure whose request may have run. */
 class HoldCallers {
   answered = 0;
   readonly lost: string[] = [];
@@ -72,7 +62,7 @@
 }
 
 describe('a daemon that stops as planned', () => {
-  itAlone('should cost no call of a sender that stood still until it was gone', async (t) => {
+  itAlone('should lose no call of a sender that was paused during the stop', async (t) => {
     const fleet = await Fleet.start([
       { id: 'a1', zone: 'east', service: 'alpha' },
       ...['b1', ...kStoppedDaemons].map((id) => ({ id, zone: 'east', service: 'beta', behaviour: { workMs: 5 } })),
@@ -101,9 +91,8 @@
     }
   });
 
-  // Callers open connections ahead of their requests, and a sender that stands still may have one without an offer. The server's close
-  // waits for such a connection as for a request: a daemon with one was still there 20 s after SIGTERM, without a line.
-  itAlone('should end although a connection was opened and never used', async (t) => {
+  // Clients may open connections ahead of their requests. The close of the HTTP server waits for such a connection as for a request.
+  itAlone('should exit although a connection was opened and never used', async (t) => {
     const fleet = await Fleet.start([{ id: 'b2', zone: 'east', service: 'beta' }]);
     const { daemon, address } = fleet.host('b2');
     const [host = '', port = ''] = address.split(':');
@@ -112,7 +101,7 @@
       await once(unused, 'connect');
       t.true((await fetch(`http://${address}/-/status`)).ok);
       daemon.kill('SIGTERM');
-      await until('the daemon ends', () => Promise.resolve(daemon.exitCode !== null));
+      await until('the daemon exits', () => Promise.resolve(daemon.exitCode !== null));
       t.is(daemon.exitCode, 0);
     } finally {
       unused.destroy();
--- a/tests/e2e/lethalCalls.spec.ts
+++ b/tests/e2e/lethalCalls.spec.ts
@@ -4,9 +4,8 @@
  */
 
 /**
- * Calls that end the targets they run on, over real processes. A lost attempt of an idempotent class was retried at the next target however
- * it was lost, and nothing outlived the call: each one that came ended up to three targets. `mesh/lethalRequests` tells the same of the
- * routing daemon.
+ * Calls that crash their targets, with real processes. Guards against retries, and later requests with the same fingerprint, that crash one
+ * target after another. `mesh/lethalRequests` covers the routing daemon.
  */
 
 import test from 'ava';
@@ -24,7 +23,7 @@
 let crashes = 0;
 let stopped = false;
 
-/** Starts a target again some time after it ended, as long as the fleet is there. */
+/** Restarts a target some time after each crash, until the test is over. */
 function restartAfterCrashes(host: FleetHost): void {
   host.target?.once('exit', (code) => {
     if (code === 1) {
@@ -69,14 +68,14 @@
   };
 }
 
-describe('a call that ends the targets it runs on', () => {
-  itAlone('should end three at most, then be refused as not run until an operator lets it run', async (t) => {
+describe('a call that crashes its targets', () => {
+  itAlone('should crash at most three targets, then be refused as not run until an operator releases it', async (t) => {
     const hosts = [...fleet.hosts.keys()];
     for (let i = 0; i < kLethalCalls; i++) {
       await call(hosts[i % hosts.length] ?? 'a1', '/beta/lethal/1');
       await new Promise((resolve) => setTimeout(resolve, kCallPeriodMs));
     }
-    t.true(crashes <= kMaxCrashes, `expected at most ${kMaxCrashes} ends of targets, got ${crashes}`);
+    t.true(crashes <= kMaxCrashes, `expected at most ${kMaxCrashes} target crashes, got ${crashes}`);
     for (const host of hosts) {
       const { status, kind, retryAfter } = await call(host, '/beta/lethal/1');
       t.deepEqual({ status, kind }, { status: 503, kind: 'quarantined' });
--- a/tests/e2e/stops.spec.ts
+++ b/tests/e2e/stops.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Planned stops, rolling restarts and cuts, over real processes. */
+/** Planned stops, rolling restarts and network partitions, with real processes. */
 
 import test from 'ava';
 import { LinkStandin } from '../standins/linkStandin.js';
@@ -45,8 +45,8 @@
 });
 
 /**
- * Callers that ask the daemons in turn, and ask again elsewhere when they are told `not_run` or find nobody. As they are
- * told by `Retry-After`, they leave a daemon alone for so long.
+ * Callers that send requests to the daemons in turn, and retry at the next daemon after the outcome `not_run` or a refused connection. They
+ * respect `Retry-After` of each daemon.
  */
 class Callers {
   answered = 0;
@@ -109,7 +109,7 @@
 }
 
 describe('a planned stop', () => {
-  itAlone('should cut nothing under load while the log is down', async (t) => {
+  itAlone('should interrupt no call under load while the log is unavailable', async (t) => {
     await fleet.setLogFaults({ down: true });
     const callers = new Callers('/alpha/x', { method: 'PUT' }, ['b1', 'b2', 'a1']);
     const holdCallers = new Callers('/beta/holds', { method: 'POST' }, ['b1', 'a1']);
@@ -143,10 +143,12 @@
   });
 });
 
-describe('a cut', () => {
-  itAlone('should be noticed, served around on both sides, and healed', async (t) => {
+describe('a network partition', () => {
+  itAlone('should be detected, allow requests on both sides, and recover', async (t) => {
     link.setCut(true);
-    await until('a1 gives b3 up', async () => (await fleet.status('a1')).members.some((m) => m.id === 'b3' && m.state !== 'alive'));
+    await until('a1 no longer lists b3 as alive', async () =>
+      (await fleet.status('a1')).members.some((m) => m.id === 'b3' && m.state !== 'alive'),
+    );
     for (let i = 0; i < 10; i++) {
       t.is((await fetch(`http://${fleet.host('a1').address}/beta/x`)).status, 200);
     }
@@ -155,7 +157,7 @@
     const applied = await fleet.client(['apply', 'FILE', '--base', String(version)], { retryRatio: 0.13 });
     t.is(applied.code, 0, applied.err);
     link.setCut(false);
-    await Promise.all(kIds.map((id) => until(`${id} holds the version`, async () => (await fleet.status(id)).version === version + 1)));
-    await until('a1 takes b3 back', async () => (await fleet.status('a1')).members.some((m) => m.id === 'b3' && m.state === 'alive'));
+    await Promise.all(kIds.map((id) => until(`${id} has the version`, async () => (await fleet.status(id)).version === version + 1)));
+    await until('a1 lists b3 as alive', async () => (await fleet.status('a1')).members.some((m) => m.id === 'b3' && m.state === 'alive'));
   });
 });
