--- a/packages/daemon/src/app/claimService.ts
+++ b/packages/daemon/src/app/claimService.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Claims streams: indexes of the shards that this daemon has to do with, and the daemon that batches for each shard. */
+/** Appends claims to the sharded claims streams, and indexes the shards that this daemon uses. */
 
 import {
   type AppendResult,
@@ -18,7 +18,7 @@
 import { GroupAppender } from '../client/groupAppender.js';
 import type { LogClient } from '../client/logClient.js';
 import { StreamTail } from '../client/streamTail.js';
-import { spreadHash } from './digests.js';
+import { hash32 } from './digests.js';
 
 interface Shard {
   index: ClaimIndex;
@@ -26,11 +26,11 @@
   appender: GroupAppender<ClaimRecord>;
 }
 
-/** Claims as seen by one daemon. */
+/** The claims streams as known to one daemon. */
 export class ClaimService {
   private readonly _shards = new Map<number, Shard>();
-  private readonly _homes = new Map<number, string | undefined>();
-  private _homesOf = -1;
+  private readonly _relays = new Map<number, string | undefined>();
+  private _relaysChangeCount = -1;
 
   constructor(
     private readonly _log: LogClient,
@@ -38,29 +38,29 @@
     private readonly _limits: { claimShards: number; claimsPerShard: number },
   ) {}
 
-  /** Claims that are remembered here. */
+  /** Number of indexed claims. */
   get size(): number {
     return [...this._shards.values()].reduce((sum, { index }) => sum + index.size, 0);
   }
 
-  /** Shard of a key, its index, and the daemon that batches for it when that is another. */
+  /** Shard of a key, with its index. `relay` is the address of the daemon that batches its claims; undefined for the local daemon. */
   shardOf(key: string): { shard: number; index: ClaimIndex; relay?: string } {
-    const shard = spreadHash(key) % this._limits.claimShards;
-    return { shard, index: this._shard(shard).index, relay: this._home(shard) };
+    const shard = hash32(key) % this._limits.claimShards;
+    return { shard, index: this._shard(shard).index, relay: this._relay(shard) };
   }
 
-  /** Appends a claim with the next group of its shard. */
+  /** Appends a claim with the next batch of its shard. */
   append(shard: number, record: ClaimRecord): Promise<AppendResult> {
     return this._shard(shard).appender.append(record);
   }
 
-  /** Reads a shard's stream up to an offset, or to its end. */
+  /** Reads a shard's stream into its index, up to an offset or to its current end. */
   read(shard: number, upTo?: number): Promise<ReadResult> {
     return this._shard(shard).tail.readUpTo(upTo);
   }
 
-  /** Claims for another daemon. */
-  claimFor(record: ClaimRecord): Promise<ClaimedInLog> {
+  /** Appends a claim on behalf of another daemon and reads back the holder of the key. */
+  claimForPeer(record: ClaimRecord): Promise<ClaimedInLog> {
     const { shard, index } = this.shardOf(record.key);
     return runProcedure(claimInLog(record, shard, index), {
       appendClaim: (effect) => this.append(effect.shard, effect.record),
@@ -83,30 +83,30 @@
     return shard;
   }
 
-  /** Address of the daemon of the own region that batches for a shard; undefined when it is this one. */
-  private _home(shard: number): string | undefined {
-    if (this._homesOf !== this._view.changeCount) {
-      this._homes.clear();
-      this._homesOf = this._view.changeCount;
+  /** Address of the daemon in this region that batches claims for a shard; undefined when it is the local daemon. */
+  private _relay(shard: number): string | undefined {
+    if (this._relaysChangeCount !== this._view.changeCount) {
+      this._relays.clear();
+      this._relaysChangeCount = this._view.changeCount;
     }
-    if (!this._homes.has(shard)) {
-      this._homes.set(shard, this._findHome(shard));
+    if (!this._relays.has(shard)) {
+      this._relays.set(shard, this._findRelay(shard));
     }
-    return this._homes.get(shard);
+    return this._relays.get(shard);
   }
 
-  /** The highest hash of daemon and shard wins; only efficiency depends on all daemons agreeing on it. */
-  private _findHome(shard: number): string | undefined {
+  /** Rendezvous hashing. Correctness does not depend on it: daemons that disagree only make smaller batches. */
+  private _findRelay(shard: number): string | undefined {
     const { self } = this._view;
-    let home = self;
-    let highest = spreadHash(`${shard}/${self.id}`);
+    let relay = self;
+    let highest = hash32(`${shard}/${self.id}`);
     for (const member of this._view.all()) {
-      const weight = spreadHash(`${shard}/${member.id}`);
+      const weight = hash32(`${shard}/${member.id}`);
       if (member.state === 'alive' && member.region === self.region && weight > highest) {
-        home = member;
+        relay = member;
         highest = weight;
       }
     }
-    return home.id === self.id ? undefined : home.address;
+    return relay.id === self.id ? undefined : relay.address;
   }
 }
--- a/packages/daemon/src/app/configService.ts
+++ b/packages/daemon/src/app/configService.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Keeps the configuration current: a few daemons of each zone follow the log, the others hear of new versions from their
- * peers; every daemon also looks at the log itself now and then.
+ * Keeps the configuration current. A few readers in each zone follow the log, and the other daemons fetch new versions from their
+ * peers. Every daemon also polls the log at a low rate.
  */
 
 import { type Config, kConfigStream, kSnapshotStream, type PatchRecord } from '@gentiandrum/protocol';
@@ -22,40 +22,43 @@
 import type { LogClient } from '../client/logClient.js';
 import type { PeerClient } from '../client/peerClient.js';
 import { StreamTail } from '../client/streamTail.js';
-import { spreadHash, textDigest } from './digests.js';
+import { hash32, hexDigest } from './digests.js';
 import type { Logger } from './logger.js';
 
-/** Daemons of each zone that follow the log. */
+/** Number of daemons in each zone that follow the log. */
 const kReadersPerZone = 2;
-const kFollowMs = 10_000;
+/** Wait of one read that follows the log, in milliseconds. */
+const kFollowWaitMs = 10_000;
 const kRetryMs = 500;
-/** Every daemon looks at the log at least this often, unless there are so many that the log would be crowded. */
-const kLookMs = 3_000;
-const kLooksPerSecond = 100;
-const kKeptRecords = 300;
-/** Records after which a snapshot is due, and the time after which one is renewed for the sake of retention. */
-const kSnapshotRecords = 100;
-const kSnapshotMs = 600_000;
-
-interface KeptRecord {
+/** Period with which a daemon polls the log, in milliseconds; longer in a large fleet, to stay within {@link kMaxPollsPerSecond}. */
+const kMinPollPeriodMs = 3_000;
+/** Poll rate of all daemons together. */
+const kMaxPollsPerSecond = 100;
+const kMaxCachedRecords = 300;
+/** Number of records after which a new snapshot is appended. */
+const kRecordsPerSnapshot = 100;
+/** Age at which a snapshot is appended again, before the log's retention removes it, in milliseconds. */
+const kMaxSnapshotAgeMs = 600_000;
+
+interface CachedRecord {
   offset: number;
   value: unknown;
 }
 
-/** Configuration of one daemon. */
+/** Configuration of one daemon, with the records it can pass on to peers. */
 export class ConfigService {
   readonly fold = new ConfigFold();
   private readonly _tail: StreamTail;
   private readonly _snapshots: StreamTail;
-  private _kept: KeptRecord[] = [];
+  private _cachedRecords: CachedRecord[] = [];
   private _snapshotOffset = 0;
   private _snapshotAt = 0;
   private _snapshotNext = 0;
   private _stopped = false;
-  private _timer: NodeJS.Timeout | undefined;
+  private _pollTimer: NodeJS.Timeout | undefined;
   private _fetching = false;
 
-  /** @param _onVersion called when a new version is in force here */
+  /** @param _onVersion called when this daemon applies a new version */
   constructor(
     private readonly _log: LogClient,
     private readonly _peers: PeerClient,
@@ -89,24 +92,24 @@
     );
   }
 
-  /** Whether this daemon follows the log for its zone. */
+  /** Whether this daemon is a reader for its zone. */
   get isReader(): boolean {
     return this._rank((member) => member.zone === this._view.self.zone) < kReadersPerZone;
   }
 
-  /** Starts to keep the configuration current. */
+  /** Starts following and polling the log. */
   start(): void {
     void this._followLoop();
-    this._scheduleLook();
+    this._schedulePoll();
   }
 
-  /** Stops. */
+  /** Stops following and polling the log after the current reads. */
   stop(): void {
     this._stopped = true;
-    clearTimeout(this._timer);
+    clearTimeout(this._pollTimer);
   }
 
-  /** Folds the log up to an offset, or to its end. */
+  /** Folds the log up to an offset, or to its current end. */
   read(upTo?: number): Promise<ReadResult> {
     return this._tail.readUpTo(upTo);
   }
@@ -116,7 +119,7 @@
     return this._snapshots.readUpTo();
   }
 
-  /** Submits an operator's patch. */
+  /** Appends an operator's patch to the log and returns its verdict. */
   submit(record: PatchRecord): Promise<SubmitResult> {
     return runProcedure(submitPatch(record, this.fold), {
       readConfig: ({ upTo }) => this.read(upTo),
@@ -124,7 +127,7 @@
     });
   }
 
-  /** Fetches from a peer what is lacking here. */
+  /** Fetches missing records from a peer; false when the peer did not respond. */
   async fetchFrom(address: string): Promise<boolean> {
     const res = await this._peers.fetchConfig(address, this.fold.next);
     if (!res) {
@@ -141,7 +144,7 @@
     return true;
   }
 
-  /** Fetches from a peer unless a fetch is under way. */
+  /** Like {@link fetchFrom}, but does nothing while another call of this method is in progress. */
   async fetchOnce(address: string): Promise<void> {
     if (this._fetching) {
       return;
@@ -154,55 +157,54 @@
     }
   }
 
-  /** What a peer lacks from an offset on: records while they are kept, else a snapshot. */
-  since(next: number): { next: number; records: KeptRecord[]; snapshot: string } {
-    const records = this._kept.filter((record) => record.offset >= next);
+  /** The records from an offset on, or a snapshot if those are no longer cached. */
+  changesSince(next: number): { next: number; records: CachedRecord[]; snapshot: string } {
+    const records = this._cachedRecords.filter((record) => record.offset >= next);
     const complete = next >= this.fold.next || records[0]?.offset === next;
-    const snapshot = complete ? '' : JSON.stringify(this.fold.snapshot(textDigest));
+    const snapshot = complete ? '' : JSON.stringify(this.fold.snapshot(hexDigest));
     return { next: this.fold.next, records: complete ? records : [], snapshot };
   }
 
   private async _followLoop(): Promise<void> {
     while (!this._stopped) {
-      const end = this.isReader ? await this._tail.follow(kFollowMs) : undefined;
-      if (end?.kind !== 'read') {
+      const result = this.isReader ? await this._tail.follow(kFollowWaitMs) : undefined;
+      if (result?.kind !== 'read') {
         await this._wait(kRetryMs);
-      } else if (this._snapshotDue()) {
+      } else if (this._isSnapshotPending()) {
         await runProcedure(refreshSnapshot(), { readConfig: ({ upTo }) => this.read(upTo), appendSnapshot: () => this._appendSnapshot() });
       }
     }
   }
 
-  /** Appends a snapshot. */
   private async _appendSnapshot(): Promise<AppendResult> {
-    const end = await this._log.append(kSnapshotStream, this.fold.snapshot(textDigest));
-    if (end.kind === 'appended') {
+    const result = await this._log.append(kSnapshotStream, this.fold.snapshot(hexDigest));
+    if (result.kind === 'appended') {
       this._snapshotOffset = this.fold.next;
       this._snapshotAt = Date.now();
-      this._logger.info('config', 'Appended a snapshot.', { version: this.fold.version, offset: this.fold.next });
+      this._logger.info('config', 'Appended a configuration snapshot.', { version: this.fold.version, offset: this.fold.next });
     }
-    return end;
+    return result;
   }
 
-  private _snapshotDue(): boolean {
-    const first = this._rank(() => true) === 0;
+  private _isSnapshotPending(): boolean {
+    const isFirst = this._rank(() => true) === 0;
     const records = this.fold.next - this._snapshotOffset;
-    const old = Date.now() - this._snapshotAt >= kSnapshotMs;
-    return first && this.fold.version > 0 && (records >= kSnapshotRecords || old);
+    const isOld = Date.now() - this._snapshotAt >= kMaxSnapshotAgeMs;
+    return isFirst && this.fold.version > 0 && (records >= kRecordsPerSnapshot || isOld);
   }
 
-  private _scheduleLook(): void {
-    const crowd = (this._view.all().length / kLooksPerSecond) * 1_000;
+  private _schedulePoll(): void {
+    const sharedPeriodMs = (this._view.all().length / kMaxPollsPerSecond) * 1_000;
     const jitter = 0.8 + Math.random() * 0.4;
-    this._timer = setTimeout(
+    this._pollTimer = setTimeout(
       () => {
         void this.read().finally(() => {
           if (!this._stopped) {
-            this._scheduleLook();
+            this._schedulePoll();
           }
         });
       },
-      Math.max(kLookMs, crowd) * jitter,
+      Math.max(kMinPollPeriodMs, sharedPeriodMs) * jitter,
     );
   }
 
@@ -211,31 +213,31 @@
       return;
     }
     const changed = this.fold.apply(offset, value);
-    this._kept.push({ offset, value });
-    this._kept = this._kept.slice(-kKeptRecords);
+    this._cachedRecords.push({ offset, value });
+    this._cachedRecords = this._cachedRecords.slice(-kMaxCachedRecords);
     if (changed) {
-      this._announce();
+      this._notifyVersion();
     }
   }
 
   private _adopt(value: unknown): void {
-    if (this.fold.adopt(value, textDigest)) {
-      this._announce();
+    if (this.fold.adopt(value, hexDigest)) {
+      this._notifyVersion();
     }
-    this._kept = this._kept.filter((record) => record.offset >= this.fold.next);
+    this._cachedRecords = this._cachedRecords.filter((record) => record.offset >= this.fold.next);
   }
 
-  private _announce(): void {
-    this._logger.info('config', `Version ${this.fold.version} is in force.`, { version: this.fold.version });
+  private _notifyVersion(): void {
+    this._logger.info('config', `Applied configuration version ${this.fold.version}.`, { version: this.fold.version });
     this._onVersion(this.fold.config);
   }
 
-  /** Place of this daemon among the living ones of a group, in an order that all compute alike. */
-  private _rank(member: (of: { zone: string }) => boolean): number {
+  /** Rank of this daemon by hashed id among the alive daemons of a group; all daemons compute the same order. */
+  private _rank(isInGroup: (of: { zone: string }) => boolean): number {
     const { self } = this._view;
-    const own = spreadHash(self.id);
-    const ahead = this._view.all().filter((other) => other.id !== self.id && other.state === 'alive' && member(other));
-    return ahead.filter((other) => spreadHash(other.id) < own).length;
+    const selfHash = hash32(self.id);
+    const others = this._view.all().filter((other) => other.id !== self.id && other.state === 'alive' && isInGroup(other));
+    return others.filter((other) => hash32(other.id) < selfHash).length;
   }
 
   private _wait(ms: number): Promise<void> {
--- a/packages/daemon/src/app/memberService.ts
+++ b/packages/daemon/src/app/memberService.ts
@@ -3,33 +3,33 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Keeps the membership view: pings others, answers their pings, and notices when the process was paused. */
+/** Maintains the membership view: pings other daemons, responds to their pings, and detects pauses of the process. */
 
 import { type Member, type MemberView, monotonicMs, provesNeverTaken } from '@gentiandrum/core';
 import type { PeerClient, Pong } from '../client/peerClient.js';
 import type { Logger } from './logger.js';
 import type { OpenOffers } from './openOffers.js';
 
-const kPeriodMs = 1_000;
-/** A period that took this long means that the process was paused. */
-const kPauseMs = 2_500;
-const kSpread = 3;
-/** Periods after which the whole view of another daemon is fetched, against whatever pings did not carry. */
-const kFetchPeriods = 60;
-/** Pause before others are asked again for the record of a daemon that ended, in milliseconds. */
-const kAskAgainMs = 1_000;
-/** Times that a daemon which leaves tries to reach those who keep its last record; a ping waits half a second at most. */
-const kLeaveTries = 3;
-/** Keepers of it that may be left untold: one that stands still would hold up the stop. */
-const kUntoldKeepers = 1;
-
-/** What others do with membership news. */
+const kPingPeriodMs = 1_000;
+/** Duration of a period from which the process counts as paused, in milliseconds. */
+const kPauseThresholdMs = 2_500;
+/** Number of daemons in the zone that an update is sent to; one more is drawn from all zones. */
+const kUpdateFanout = 3;
+/** Number of periods between fetches of another daemon's whole view, which contains changes that pings have missed. */
+const kPeriodsPerFetch = 60;
+/** Minimum time between queries for the record of one daemon, in milliseconds. */
+const kRecordQueryPeriodMs = 1_000;
+/** Maximum number of rounds in which a leaving daemon pings the holders of its last record. */
+const kMaxLeaveRounds = 3;
+/** Number of holders that may remain without the record, so that one paused daemon does not delay the stop. */
+const kMaxUnnotifiedHolders = 1;
+
+/** Callbacks for membership changes. */
 export interface MemberEvents {
-  /** A ping or an answer told a configuration version ahead of the own one. */
+  /** Another daemon reported a newer configuration version than the local one. */
   onNewerConfig(from: string): void;
-  /** The view changed. */
   onChange(): void;
-  /** The process was paused for about that long. */
+  /** The process was paused for about `ms` milliseconds. */
   onPause(ms: number): void;
 }
 
@@ -37,10 +37,10 @@
 export class MemberService {
   private _timer: NodeJS.Timeout | undefined;
   private _lastTick = monotonicMs();
-  private _announced = -1;
-  private _periods = Math.floor(Math.random() * kFetchPeriods);
-  /** Latest questions for the records of others, by their ids. */
-  private readonly _asked = new Map<string, { at: number; done: Promise<void> }>();
+  private _notifiedChangeCount = -1;
+  private _periods = Math.floor(Math.random() * kPeriodsPerFetch);
+  /** Recent queries for the records of other daemons, by id. */
+  private readonly _recordQueries = new Map<string, { at: number; done: Promise<void> }>();
 
   constructor(
     readonly view: MemberView,
@@ -50,32 +50,32 @@
     private readonly _openOffers: OpenOffers,
   ) {}
 
-  /** Starts to ping. */
+  /** Starts pinging. */
   start(): void {
     this._lastTick = monotonicMs();
     this._timer = setInterval(() => {
       this._tick();
-    }, kPeriodMs);
+    }, kPingPeriodMs);
   }
 
-  /** Stops to ping. */
+  /** Stops pinging. */
   stop(): void {
     clearInterval(this._timer);
   }
 
-  /** Answers a ping. */
-  pinged(from: string, configVersion: number, changes: Member[]): Pong {
+  /** Processes a ping and returns the response. */
+  onPing(from: string, configVersion: number, changes: Member[]): Pong {
     this._merge(changes);
     const now = monotonicMs();
     this.view.markAlive(from, now);
     this._compareConfig(from, configVersion);
     this._notify();
     const { self } = this.view;
-    return { configVersion: self.configVersion, changes: [self, ...this.view.takeChanges()], openOffers: this._openOffers.at(from) };
+    return { configVersion: self.configVersion, changes: [self, ...this.view.takeChanges()], openOffers: this._openOffers.countFor(from) };
   }
 
-  /** A call could not connect to a daemon: it is suspected at once, and pinged. */
-  doubt(id: string): void {
+  /** Suspects a daemon that a call could not connect to, and pings it. */
+  suspectUnreachable(id: string): void {
     const member = this.view.get(id);
     if (member?.state === 'alive') {
       this.view.suspect(id, monotonicMs());
@@ -84,45 +84,45 @@
     }
   }
 
-  /** Takes records that came otherwise, such as from a seed. */
-  learn(members: Member[]): void {
+  /** Merges records from another source than a ping, without sending them on. */
+  mergeRecords(members: Member[]): void {
     this._merge(members, false);
     this._notify();
   }
 
-  /** Tells some others at once of what changed. */
-  async spread(): Promise<void> {
-    await this._tell([...this.view.sampleAlive(kSpread, this.view.self.zone), ...this.view.sampleAlive(1)]);
+  /** Sends recent changes to some random daemons at once. */
+  async sendUpdate(): Promise<void> {
+    await this._pingAll([...this.view.sampleAlive(kUpdateFanout, this.view.self.zone), ...this.view.sampleAlive(1)]);
   }
 
-  /** Tells the same of a leave, and again to those who keep the last record until nearly all know it. */
-  async spreadLeave(): Promise<void> {
-    const [, first] = await Promise.all([this.spread(), this._tell(this.view.recordHoldersOf(this.view.self.id))]);
-    let untold = first;
-    for (let tries = 1; untold.length > kUntoldKeepers && tries < kLeaveTries; tries++) {
-      untold = await this._tell(untold);
+  /** Like {@link sendUpdate}, and sends the last record to its holders, repeatedly until nearly all have it. */
+  async sendLeave(): Promise<void> {
+    const [, unnotifiedHolders] = await Promise.all([this.sendUpdate(), this._pingAll(this.view.recordHoldersOf(this.view.self.id))]);
+    let unnotified = unnotifiedHolders;
+    for (let rounds = 1; unnotified.length > kMaxUnnotifiedHolders && rounds < kMaxLeaveRounds; rounds++) {
+      unnotified = await this._pingAll(unnotified);
     }
   }
 
   /**
-   * Whether a daemon left and proved that it never took an attempt. When its record isn't known here, as may be after a pause of this
-   * process, others are asked for it.
+   * Whether a daemon left and proved that it never accepted an attempt. If the known record is no proof, as may be the case after a pause
+   * of this process, queries the holders of the record.
    */
-  async neverTook(id: string, incarnation: number, attempt: string): Promise<boolean> {
+  async neverAccepted(id: string, incarnation: number, attempt: string): Promise<boolean> {
     if (provesNeverTaken(this.view.get(id), incarnation, attempt)) {
       return true;
     }
-    await this._askForRecord(id);
+    await this._queryRecord(id);
     return provesNeverTaken(this.view.get(id), incarnation, attempt);
   }
 
-  /** Pings one daemon; true when it answered. */
+  /** Pings one daemon; returns whether it responded. */
   async ping(member: Member): Promise<boolean> {
     return (await this._ping(member)) !== undefined;
   }
 
-  /** Tells daemons that this one leaves; returns those that know it, and have no open offers here. */
-  async askForRelease(senders: readonly string[]): Promise<string[]> {
+  /** Pings senders of offers with the local record; returns those that responded and have no open offers at this daemon. */
+  async requestRelease(senders: readonly string[]): Promise<string[]> {
     const members = senders.flatMap((id) => this.view.get(id) ?? []);
     const pongs = await Promise.all(members.map((member) => this._ping(member)));
     return members.filter((_, at) => pongs[at]?.openOffers === 0).map(({ id }) => id);
@@ -130,8 +130,8 @@
 
   private async _ping(member: Member): Promise<Pong | undefined> {
     const { self } = this.view;
-    const rumour = member.state === 'alive' ? [] : [member];
-    const changes = [self, ...rumour, ...this.view.takeChanges()];
+    const refutable = member.state === 'alive' ? [] : [member];
+    const changes = [self, ...refutable, ...this.view.takeChanges()];
     const pong = await this._peers.ping(member.address, { from: self.id, to: member.id, configVersion: self.configVersion, changes });
     const now = monotonicMs();
     if (!pong) {
@@ -150,7 +150,7 @@
     const now = monotonicMs();
     const elapsed = now - this._lastTick;
     this._lastTick = now;
-    if (elapsed > kPauseMs) {
+    if (elapsed > kPauseThresholdMs) {
       this.view.restartSuspicionTimers(now);
       this._events.onPause(elapsed);
     }
@@ -161,49 +161,49 @@
       void this.ping(next);
     }
     this._periods++;
-    if (this._periods % kFetchPeriods === 0) {
+    if (this._periods % kPeriodsPerFetch === 0) {
       void this._fetchView();
     }
   }
 
-  /** At most one question a second for each daemon: when one crashes, many offers are lost at once. */
-  private _askForRecord(id: string): Promise<void> {
+  /** Limits queries to one per period and daemon, because a crash of a daemon loses many offers at once. */
+  private _queryRecord(id: string): Promise<void> {
     const now = monotonicMs();
-    for (const [other, { at }] of this._asked) {
-      if (now - at > kAskAgainMs) {
-        this._asked.delete(other);
+    for (const [other, { at }] of this._recordQueries) {
+      if (now - at > kRecordQueryPeriodMs) {
+        this._recordQueries.delete(other);
       }
     }
-    let asked = this._asked.get(id);
-    if (!asked) {
-      asked = { at: now, done: this._fetchRecords(id) };
-      this._asked.set(id, asked);
+    let query = this._recordQueries.get(id);
+    if (!query) {
+      query = { at: now, done: this._fetchRecords(id) };
+      this._recordQueries.set(id, query);
     }
-    return asked.done;
+    return query.done;
   }
 
   private async _fetchRecords(id: string): Promise<void> {
     const views = await Promise.all(this.view.recordHoldersOf(id).map(({ address }) => this._peers.fetchMembers(address)));
-    this.learn(views.flatMap((members) => members ?? []));
+    this.mergeRecords(views.flatMap((members) => members ?? []));
   }
 
-  /** Pings daemons; returns those that did not answer. */
-  private async _tell(members: readonly Member[]): Promise<Member[]> {
-    const told = await Promise.all(members.map((member) => this.ping(member)));
-    return members.filter((_, at) => told[at] !== true);
+  /** Pings daemons; returns those that did not respond. */
+  private async _pingAll(members: readonly Member[]): Promise<Member[]> {
+    const responded = await Promise.all(members.map((member) => this.ping(member)));
+    return members.filter((_, at) => responded[at] !== true);
   }
 
   private async _fetchView(): Promise<void> {
     const [other] = this.view.sampleAlive(1);
     const members = other && (await this._peers.fetchMembers(other.address));
-    this.learn(members ?? []);
+    this.mergeRecords(members ?? []);
   }
 
-  private _merge(members: Member[], passOn = true): void {
+  private _merge(members: Member[], retransmit = true): void {
     const now = monotonicMs();
     for (const member of members) {
       const before = this.view.get(member.id);
-      if (this.view.merge(member, now, passOn) && before?.state !== member.state) {
+      if (this.view.merge(member, now, retransmit) && before?.state !== member.state) {
         this._logger.info('members', `${member.id} is ${member.state}`, { member: member.id, zone: member.zone, state: member.state });
       }
     }
@@ -217,8 +217,8 @@
   }
 
   private _notify(): void {
-    if (this._announced !== this.view.changeCount) {
-      this._announced = this.view.changeCount;
+    if (this._notifiedChangeCount !== this.view.changeCount) {
+      this._notifiedChangeCount = this.view.changeCount;
       this._events.onChange();
     }
   }
--- a/packages/daemon/src/app/peerCodec.ts
+++ b/packages/daemon/src/app/peerCodec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Between the core's records and the messages of the peer protocol. */
+/** Converts between the core's records and the messages of the peer protocol. */
 
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import type { Member, MemberState, ServeResult, Suspicion, TargetState } from '@gentiandrum/core';
@@ -15,7 +15,7 @@
   TargetState as TargetMsg,
 } from '@gentiandrum/protocol/peers';
 
-const kStates: Record<MemberState, StateMsg> = {
+const kMemberStates: Record<MemberState, StateMsg> = {
   alive: StateMsg.ALIVE,
   suspect: StateMsg.SUSPECT,
   dead: StateMsg.DEAD,
@@ -23,20 +23,19 @@
 };
 const kTargetStates: Record<TargetState, TargetMsg> = { absent: TargetMsg.ABSENT, serving: TargetMsg.SERVING, leaving: TargetMsg.LEAVING };
 
-/** Member → message. */
 export function encodeMember(member: Member): MemberMsg {
   const fields: MessageInitShape<typeof MemberSchema> = {
     ...member,
     incarnation: BigInt(member.incarnation),
     configVersion: BigInt(member.configVersion),
-    state: kStates[member.state],
+    state: kMemberStates[member.state],
     targetState: kTargetStates[member.targetState],
     leaveProof: member.leaveProof,
   };
   return create(MemberSchema, fields);
 }
 
-/** Message → member. */
+/** Decodes a member; unknown states become `suspect` and `absent`. */
 export function decodeMember(msg: MemberMsg): Member {
   const { id, revision, address, zone, region, target, service, slots } = msg;
   return {
@@ -50,13 +49,12 @@
     slots,
     incarnation: Number(msg.incarnation),
     configVersion: Number(msg.configVersion),
-    state: keyOf(kStates, msg.state) ?? 'suspect',
+    state: keyOf(kMemberStates, msg.state) ?? 'suspect',
     targetState: keyOf(kTargetStates, msg.targetState) ?? 'absent',
     leaveProof: msg.leaveProof && { unsettled: msg.leaveProof.unsettled },
   };
 }
 
-/** Message → suspicion. */
 export function decodeSuspicion({ fingerprint, screen, route, marks }: SuspicionMsg): Suspicion {
   return {
     fingerprint,
@@ -66,8 +64,8 @@
   };
 }
 
-/** Recorded end → its JSON part and its body. */
-export function encodeServed(served: ServeResult): { served: string; body: Uint8Array } {
+/** Encodes a recorded result as JSON, with the body separate. */
+export function encodeServeResult(served: ServeResult): { served: string; body: Uint8Array } {
   if (served.kind === 'error') {
     return { served: JSON.stringify(served), body: new Uint8Array() };
   }
@@ -75,8 +73,8 @@
   return { served: JSON.stringify({ kind: 'answer', answer: { status, headers } }), body };
 }
 
-/** JSON part and body → recorded end. */
-export function decodeServed(text: string, body: Uint8Array): ServeResult {
+/** Decodes the result of {@link encodeServeResult}. */
+export function decodeServeResult(text: string, body: Uint8Array): ServeResult {
   const served = JSON.parse(text) as ServeResult;
   return served.kind === 'error' ? served : { kind: 'answer', answer: { ...served.answer, body } };
 }
--- a/packages/daemon/src/server/callRoutes.ts
+++ b/packages/daemon/src/server/callRoutes.ts
@@ -97,14 +97,14 @@
   }
   const { service, payload } = readPayload(req, body);
   const token = chain.kind === 'token' ? chain.token : undefined;
-  const accepted = daemon.calls.take({ service, payload, key: key.val, timeoutMs: timeout.val, chain: token });
+  const accepted = daemon.calls.accept({ service, payload, key: key.val, timeoutMs: timeout.val, chain: token });
   const onClose = (): void => {
     if (!reply.raw.writableEnded) {
-      accepted.callerGone();
+      accepted.onCallerDisconnect();
     }
   };
   reply.raw.on('close', onClose);
-  const result = await accepted.served;
+  const result = await accepted.result;
   reply.raw.off('close', onClose);
   sendResult(reply, accepted.id, result);
   return reply;
@@ -128,16 +128,16 @@
   const result: OfferResult = await daemon.offers.offer(terms, { method, path, headers, body });
   reply.raw.off('close', onClose);
   if (result.kind === 'refused') {
-    daemon.taken.refused(req.raw.socket, terms.attempt);
+    daemon.acceptedOffers.refused(req.raw.socket, terms.attempt);
   }
   return reply.header(kVerdictHeader, verdictHeader(result)).send(result.kind === 'answered' ? result.answer.body : kEmptyBody);
 }
 
-function recordOffer({ taken }: Daemon, socket: Socket, from: string, { attempt, remainingMs, idempotent }: OfferTerms): void {
+function recordOffer({ acceptedOffers }: Daemon, socket: Socket, from: string, { attempt, remainingMs, idempotent }: OfferTerms): void {
   const offer = idempotent ? undefined : { attempt, deadline: monotonicMs() + remainingMs };
-  if (taken.accept(socket, from, offer)) {
+  if (acceptedOffers.accept(socket, from, offer)) {
     socket.once('close', () => {
-      taken.closed(socket, monotonicMs());
+      acceptedOffers.closed(socket, monotonicMs());
     });
   }
 }
--- a/packages/daemon/src/server/controlController.ts
+++ b/packages/daemon/src/server/controlController.ts
@@ -130,7 +130,7 @@
   /** Lists the decisions that this daemon made for a request. */
   @Get('decisions/:request')
   decisions(@Param('request') request: string): { request: string; decisions: LoggedDecision[] } {
-    return { request, decisions: this._daemon.decisions.of(request) };
+    return { request, decisions: this._daemon.decisions.forRequest(request) };
   }
 
   /** Lists request fingerprints that are suspected of crashing targets. */
