--- a/bench/support/openLoop.ts
+++ b/bench/support/openLoop.ts
@@ -7,7 +7,7 @@
 
 import { build, type Histogram } from 'hdr-histogram-js';
 
-const kMicros = 1_000;
+const kMicrosPerMs = 1_000;
 
 /** Latencies of one run, in milliseconds. */
 export interface Latencies {
@@ -25,12 +25,12 @@
 ): Promise<Record<string, Latencies>> {
   const names = Object.keys(loads);
   const runs = await Promise.all(
-    names.map((name, i) => runOne(loads[name] ?? (() => Promise.resolve(false)), perSecond, seconds, i / names.length)),
+    names.map((name, i) => runLoad(loads[name] ?? (() => Promise.resolve(false)), perSecond, seconds, i / names.length)),
   );
   return Object.fromEntries(names.map((name, i) => [name, runs[i] ?? { count: 0, failed: 0, p50: 0, p99: 0 }]));
 }
 
-async function runOne(call: () => Promise<boolean>, perSecond: number, seconds: number, phase: number): Promise<Latencies> {
+async function runLoad(call: () => Promise<boolean>, perSecond: number, seconds: number, phase: number): Promise<Latencies> {
   const histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 60_000_000, numberOfSignificantValueDigits: 3 });
   const intervalMs = 1_000 / perSecond;
   const total = perSecond * seconds;
@@ -38,24 +38,29 @@
   const pending: Promise<void>[] = [];
   let failed = 0;
   for (let i = 0; i < total; i++) {
-    const due = startedAt + i * intervalMs;
-    const waitMs = due - performance.now();
+    const scheduledAt = startedAt + i * intervalMs;
+    const waitMs = scheduledAt - performance.now();
     if (waitMs > 0.5) {
       await new Promise((resolve) => setTimeout(resolve, waitMs));
     }
     pending.push(
-      timed(call, histogram).then((ok) => {
+      timeCall(call, histogram).then((ok) => {
         failed += ok ? 0 : 1;
       }),
     );
   }
   await Promise.all(pending);
-  return { count: total, failed, p50: histogram.getValueAtPercentile(50) / kMicros, p99: histogram.getValueAtPercentile(99) / kMicros };
+  return {
+    count: total,
+    failed,
+    p50: histogram.getValueAtPercentile(50) / kMicrosPerMs,
+    p99: histogram.getValueAtPercentile(99) / kMicrosPerMs,
+  };
 }
 
-async function timed(call: () => Promise<boolean>, histogram: Histogram): Promise<boolean> {
+async function timeCall(call: () => Promise<boolean>, histogram: Histogram): Promise<boolean> {
   const startedAt = performance.now();
   const ok = await call().catch(() => false);
-  histogram.recordValue(Math.max(1, Math.round((performance.now() - startedAt) * kMicros)));
+  histogram.recordValue(Math.max(1, Math.round((performance.now() - startedAt) * kMicrosPerMs)));
   return ok;
 }
