--- a/bench/arrival/main.ts
+++ b/bench/arrival/main.ts
@@ -20,19 +20,19 @@
 
 const kRoot = fileURLToPath(new URL('../../..', import.meta.url));
 /** Calls a second, as many as one busy daemon sees on the users' days. */
-const kPerSecond = 400;
-const kWarmSeconds = 4;
-const kSeconds = 6;
+const kCallsPerSecond = 400;
+const kWarmupSeconds = 4;
+const kRoundSeconds = 6;
 const kRounds = 3;
 /** Calls of a process that has just started, and how fast they come: what a daemon in a fleet of hundreds sees. */
 const kColdCalls = 500;
-const kColdPerSecond = 50;
+const kColdCallsPerSecond = 50;
 /** Ticks of the processor clock in one second, as Linux counts them for processes. */
-const kTicksPerSecond = 100;
+const kCpuTicksPerSecond = 100;
 /** Flags of the runtime to try, in place of those of the deploy file. */
-const kFlags = process.env.ARRIVAL_NODE_FLAGS?.split(' ') ?? deployedArguments(kRoot).slice(0, -1);
-const kProfileOption = process.argv.indexOf('--profile');
-const kProfileDir = kProfileOption < 0 ? undefined : process.argv[kProfileOption + 1];
+const kNodeFlags = process.env.ARRIVAL_NODE_FLAGS?.split(' ') ?? deployedArguments(kRoot).slice(0, -1);
+const kProfileArgIndex = process.argv.indexOf('--profile');
+const kProfileDir = kProfileArgIndex < 0 ? undefined : process.argv[kProfileArgIndex + 1];
 
 interface RunningHost extends PreparedHost {
   child: ChildProcess;
@@ -42,8 +42,8 @@
   const prepared = await fleet.prepare(id, service);
   const file = join(folder, `${id}.yaml`);
   writeFileSync(file, JSON.stringify({ ...prepared.settings, logLinesPerSecond: 20 }));
-  const profiling = kProfileDir === undefined ? [] : ['--cpu-prof', '--cpu-prof-dir', kProfileDir];
-  const child = spawn(process.execPath, [...kFlags, ...profiling, 'target/gentiandrumd.cjs'], {
+  const profilingFlags = kProfileDir === undefined ? [] : ['--cpu-prof', '--cpu-prof-dir', kProfileDir];
+  const child = spawn(process.execPath, [...kNodeFlags, ...profilingFlags, 'target/gentiandrumd.cjs'], {
     cwd: kRoot,
     env: { GENTIANDRUM_BOOT: file },
     stdio: 'ignore',
@@ -52,14 +52,14 @@
   return { ...prepared, child };
 }
 
-function processorSeconds(child: ChildProcess): number {
+function cpuSeconds(child: ChildProcess): number {
   const text = readFileSync(`/proc/${child.pid ?? 0}/stat`, 'utf8');
   const fields = text.slice(text.lastIndexOf(')') + 2).split(' ');
-  return (Number(fields[11]) + Number(fields[12])) / kTicksPerSecond;
+  return (Number(fields[11]) + Number(fields[12])) / kCpuTicksPerSecond;
 }
 
 /** Most memory that a process held so far, in MB. */
-function peakMb(child: ChildProcess): number {
+function peakRssMb(child: ChildProcess): number {
   const text = readFileSync(`/proc/${child.pid ?? 0}/status`, 'utf8');
   return Math.round(Number(/VmHWM:\s+(\d+)/.exec(text)?.[1] ?? 0) / 1_024);
 }
@@ -73,38 +73,40 @@
 const [entryHost] = hosts;
 const call = async (): Promise<boolean> => entryHost !== undefined && (await fleet.call(entryHost.host, '/a/x')).status === 200;
 await fleet.until('a call to be served', call);
-const started = hosts.map(({ child }) => processorSeconds(child));
-await runInterleaved({ call }, kColdPerSecond, kColdCalls / kColdPerSecond);
-const cold = hosts.map(({ child }, at) => ((processorSeconds(child) - (started[at] ?? 0)) * 1_000) / kColdCalls);
+const startupCpuSeconds = hosts.map(({ child }) => cpuSeconds(child));
+await runInterleaved({ call }, kColdCallsPerSecond, kColdCalls / kColdCallsPerSecond);
+const coldCpuMsPerCall = hosts.map(({ child }, index) => ((cpuSeconds(child) - (startupCpuSeconds[index] ?? 0)) * 1_000) / kColdCalls);
 console.table([
   {
-    'start, ms': started.map((seconds) => Math.round(seconds * 1_000)).join(' '),
-    'entry, ms a call': cold[0],
-    'gate, ms a call': cold[1],
-    'both, ms a call': cold.reduce((sum, ms) => sum + ms, 0),
-    'peak, MB': hosts.map(({ child }) => peakMb(child)).join(' '),
+    'start, ms': startupCpuSeconds.map((seconds) => Math.round(seconds * 1_000)).join(' '),
+    'entry, ms a call': coldCpuMsPerCall[0],
+    'gate, ms a call': coldCpuMsPerCall[1],
+    'both, ms a call': coldCpuMsPerCall.reduce((sum, ms) => sum + ms, 0),
+    'peak, MB': hosts.map(({ child }) => peakRssMb(child)).join(' '),
   },
 ]);
-await runInterleaved({ call }, kPerSecond, kWarmSeconds);
+await runInterleaved({ call }, kCallsPerSecond, kWarmupSeconds);
 const rounds = [];
 for (let i = 0; i < kRounds; i++) {
-  const before = hosts.map(({ child }) => processorSeconds(child));
-  const { call: latencies } = await runInterleaved({ call }, kPerSecond, kSeconds);
-  const after = hosts.map(({ child }) => processorSeconds(child));
-  const [entry = 0, gate = 0] = after.map((seconds, at) => ((seconds - (before[at] ?? 0)) * 1_000) / (kPerSecond * kSeconds));
+  const before = hosts.map(({ child }) => cpuSeconds(child));
+  const { call: latencies } = await runInterleaved({ call }, kCallsPerSecond, kRoundSeconds);
+  const after = hosts.map(({ child }) => cpuSeconds(child));
+  const [entry = 0, gate = 0] = after.map(
+    (seconds, index) => ((seconds - (before[index] ?? 0)) * 1_000) / (kCallsPerSecond * kRoundSeconds),
+  );
   rounds.push({
     'entry, ms a call': entry,
     'gate, ms a call': gate,
     'both, ms a call': entry + gate,
-    'peak, MB': hosts.map(({ child }) => peakMb(child)).join(' '),
+    'peak, MB': hosts.map(({ child }) => peakRssMb(child)).join(' '),
     ...latencies,
   });
 }
 console.table(rounds);
 for (const { child, target } of hosts) {
-  const ended = once(child, 'exit');
+  const exited = once(child, 'exit');
   child.kill('SIGTERM');
-  await ended;
+  await exited;
   target.close();
 }
 await fleet.close();
