--- a/bench/bodies/main.ts
+++ b/bench/bodies/main.ts
@@ -16,12 +16,12 @@
 import { kSampleConfig } from '../../tests/support/sampleConfig.js';
 
 const kCalls = Number(process.argv[2] ?? 100_000);
-const kAtOnce = 48;
+const kConcurrency = 48;
 const kSeed = 5;
-const kLargest = 1_048_576;
-const kPieces = 4;
+const kMaxBodyBytes = 1_048_576;
+const kChunks = 4;
 /** Every so many-th call takes a body of up to the largest size; the others are small. */
-const kLargeEvery = 100;
+const kLargeBodyInterval = 100;
 
 interface Counts {
   equal: number;
@@ -31,32 +31,32 @@
 }
 
 const random = seededRandom(kSeed);
-const noise = Buffer.from(Array.from({ length: kLargest }, () => Math.floor(random() * 256)));
+const randomFill = Buffer.from(Array.from({ length: kMaxBodyBytes }, () => Math.floor(random() * 256)));
 
 /** Body of a call: its number, then noise. */
-function bodyOf(i: number): Buffer {
-  const size = i % 50 === 0 ? 0 : Math.floor(random() ** 3 * (i % kLargeEvery === 1 ? kLargest : 4_096));
-  return size === 0 ? Buffer.alloc(0) : Buffer.concat([Buffer.from(`${i}:`), noise.subarray(0, size)]);
+function makeBody(i: number): Buffer {
+  const size = i % 50 === 0 ? 0 : Math.floor(random() ** 3 * (i % kLargeBodyInterval === 1 ? kMaxBodyBytes : 4_096));
+  return size === 0 ? Buffer.alloc(0) : Buffer.concat([Buffer.from(`${i}:`), randomFill.subarray(0, size)]);
 }
 
-function chunked(body: Buffer): Readable {
-  const step = Math.ceil(body.length / kPieces) || 1;
+function chunkedStream(body: Buffer): Readable {
+  const step = Math.ceil(body.length / kChunks) || 1;
   return Readable.from(
-    Array.from({ length: kPieces }, (_, i) => body.subarray(i * step, (i + 1) * step)).filter((part) => part.length > 0),
+    Array.from({ length: kChunks }, (_, i) => body.subarray(i * step, (i + 1) * step)).filter((chunk) => chunk.length > 0),
   );
 }
 
 async function call(pool: Pool, i: number, counts: Counts): Promise<void> {
-  const body = bodyOf(i);
-  const sent = i % 3 === 0 && body.length > 0 ? chunked(body) : body;
+  const body = makeBody(i);
+  const requestBody = i % 3 === 0 && body.length > 0 ? chunkedStream(body) : body;
   try {
-    const res = await pool.request({ method: 'PUT', path: `/alpha/${i}`, body: sent, headers: { 'x-call': 'bodies' } });
-    const answer = Buffer.from(await res.body.arrayBuffer());
-    const want = createHash('sha256').update(body).digest('hex');
-    const got = createHash('sha256').update(answer).digest('hex');
+    const res = await pool.request({ method: 'PUT', path: `/alpha/${i}`, body: requestBody, headers: { 'x-call': 'bodies' } });
+    const responseBody = Buffer.from(await res.body.arrayBuffer());
+    const expectedDigest = createHash('sha256').update(body).digest('hex');
+    const actualDigest = createHash('sha256').update(responseBody).digest('hex');
     if (res.statusCode !== 200) {
       counts.refused++;
-    } else if (got === want && res.headers['x-digest'] === want) {
+    } else if (actualDigest === expectedDigest && res.headers['x-digest'] === expectedDigest) {
       counts.equal++;
     } else {
       counts.crossed++;
@@ -76,7 +76,7 @@
 try {
   await fleet.client(['apply', 'FILE', '--base', '0', '--wait'], kSampleConfig);
   await fleet.untilTargets('alpha', 3);
-  const pools = [...fleet.hosts.values()].map(({ address }) => new Pool(`http://${address}`, { connections: kAtOnce }));
+  const pools = [...fleet.hosts.values()].map(({ address }) => new Pool(`http://${address}`, { connections: kConcurrency }));
   const counts: Counts = { equal: 0, crossed: 0, refused: 0, lost: 0 };
   let next = 0;
   const startedAt = performance.now();
@@ -88,7 +88,7 @@
       }
     }
   };
-  await Promise.all(Array.from({ length: kAtOnce }, worker));
+  await Promise.all(Array.from({ length: kConcurrency }, worker));
   const seconds = Math.round((performance.now() - startedAt) / 1_000);
   console.log(JSON.stringify({ calls: kCalls, ...counts, seconds, seed: kSeed }));
 } finally {
