--- a/bench/choice/main.ts
+++ b/bench/choice/main.ts
@@ -7,17 +7,17 @@
 
 import { ChainModel, monotonicMs, Placement, seededRandom, type TargetRecord } from '@gentiandrum/core';
 
-const kSizes = [10, 100, 500];
+const kTargetCounts = [10, 100, 500];
 /** Choices of a daemon that has just started, and of a warm one. */
 const kColdChoices = 200;
 const kWarmChoices = 50_000;
 const kZones = 5;
 const kSeed = 7;
 const kRoute = { name: 'search', latencyTargetMs: 500 };
-const kNone: ReadonlySet<string> = new Set();
+const kNoExcludedHosts: ReadonlySet<string> = new Set();
 const kUsPerMs = 1_000;
 
-function targetsOf(count: number): TargetRecord[] {
+function makeTargets(count: number): TargetRecord[] {
   return Array.from({ length: count }, (_, i) => ({
     host: `host-${i}`,
     zone: `zone-${i % kZones}`,
@@ -40,12 +40,12 @@
   return Number((((monotonicMs() - startedAt) / runs) * kUsPerMs).toFixed(2));
 }
 
-const rows = kSizes.map((size) => {
-  const targets = targetsOf(size);
+const rows = kTargetCounts.map((targetCount) => {
+  const targets = makeTargets(targetCount);
   const placement = new Placement('host-0', 'zone-0', seededRandom(kSeed));
-  const chains = new ChainModel();
+  const chainModel = new ChainModel();
   const choose = (): void => {
-    const target = placement.choose(targets, kNone, kRoute);
+    const target = placement.choose(targets, kNoExcludedHosts, kRoute);
     if (target) {
       placement.recordSent(target.host);
       placement.recordResult(target.host, kRoute.name, {
@@ -56,14 +56,14 @@
     }
   };
   targets.forEach(({ host }) => {
-    chains.recordReport(kRoute.name, host, { level: 0, inner: false, height: 0 });
+    chainModel.recordReport(kRoute.name, host, { level: 0, inner: false, height: 0 });
   });
   return {
-    targets: size,
+    targets: targetCount,
     'first choice, us': meanUs(1, choose),
     'next 200, us': meanUs(kColdChoices, choose),
     'warm, us': meanUs(kWarmChoices, choose),
-    'level, warm, us': meanUs(kWarmChoices, () => chains.level(kRoute.name)),
+    'level, warm, us': meanUs(kWarmChoices, () => chainModel.level(kRoute.name)),
   };
 });
 console.table(rows);
