--- a/bench/control/fit.ts
+++ b/bench/control/fit.ts
@@ -6,7 +6,7 @@
 /** Least-squares lines through measurements, with the error of the slope. */
 
 /** A line through measurements. */
-export interface Line {
+export interface LinearFit {
   slope: number;
   intercept: number;
   /** Standard error of the slope; NaN with fewer than three points. */
@@ -14,7 +14,7 @@
 }
 
 /** Fits a line. */
-export function fitLine(points: readonly [x: number, y: number][]): Line {
+export function fitLine(points: readonly [x: number, y: number][]): LinearFit {
   const n = points.length;
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / n;
   const meanY = points.reduce((sum, [, y]) => sum + y, 0) / n;
--- a/bench/control/simulatedMembers.ts
+++ b/bench/control/simulatedMembers.ts
@@ -18,15 +18,15 @@
 
 const kServices = 26;
 const kZones = 7;
-const kPeriodMs = 1_000;
+const kPingIntervalMs = 1_000;
 const kSlots = 100;
 
 /** The crowd. */
-export class Crowd {
+export class SimulatedMembers {
   private readonly _members: Member[] = [];
   private readonly _app = fastify();
   private readonly _timers: NodeJS.Timeout[] = [];
-  private _next = 0;
+  private _nextIndex = 0;
 
   constructor(private readonly _size: number) {}
 
@@ -48,7 +48,7 @@
   }
 
   /** Begins to ping each daemon once a period; each ping carries `changes` changed records. */
-  start(daemons: string[], changes: number): void {
+  startPinging(daemons: string[], changes: number): void {
     for (const address of daemons) {
       const client = createClient(
         PeerService,
@@ -56,14 +56,14 @@
       );
       this._timers.push(
         setInterval(() => {
-          void client.ping({ from: `crowd${this._next % this._size}`, changes: this._change(changes) }).catch(() => undefined);
-        }, kPeriodMs),
+          void client.ping({ from: `crowd${this._nextIndex % this._size}`, changes: this._changeRecords(changes) }).catch(() => undefined);
+        }, kPingIntervalMs),
       );
     }
   }
 
   /** Stops pinging. */
-  pause(): void {
+  stopPinging(): void {
     this._timers.splice(0).forEach((timer) => {
       clearInterval(timer);
     });
@@ -71,16 +71,16 @@
 
   /** Leaves. */
   async close(): Promise<void> {
-    this.pause();
+    this.stopPinging();
     await this._app.close();
   }
 
-  private _change(count: number): Member[] {
+  private _changeRecords(count: number): Member[] {
     return Array.from({ length: count }, () => {
-      const index = this._next++ % this._size;
+      const index = this._nextIndex++ % this._size;
       const changed = clone(MemberSchema, this._members[index] ?? makeMember(index, ''));
       changed.revision++;
-      changed.slots = kSlots + (this._next % kSlots);
+      changed.slots = kSlots + (this._nextIndex % kSlots);
       this._members[index] = changed;
       return changed;
     });
