--- a/bench/hop/hopServer.ts
+++ b/bench/hop/hopServer.ts
@@ -13,10 +13,10 @@
 import { PeerService } from '@gentiandrum/protocol/peers';
 import { fastify } from 'fastify';
 
-const kAnswer = Buffer.alloc(1_024, 'a');
+const kResponseBody = Buffer.alloc(1_024, 'a');
 
 function routes(router: ConnectRouter): void {
-  router.service(PeerService, { fetchAnswer: () => ({ body: kAnswer }) });
+  router.service(PeerService, { fetchAnswer: () => ({ body: kResponseBody }) });
 }
 
 const app = fastify();
@@ -26,13 +26,13 @@
   scope.addContentTypeParser('*', { parseAs: 'buffer' }, (_req, body, parsed) => {
     parsed(null, body);
   });
-  scope.post('/plain', (_req, reply) => reply.send(kAnswer));
+  scope.post('/plain', (_req, reply) => reply.send(kResponseBody));
   done();
 });
 await app.listen({ host: '127.0.0.1', port: 0 });
 const http2 = createServer(connectNodeAdapter({ routes, acceptCompression: [] }));
 http2.listen(0, '127.0.0.1', () => {
-  const one = (app.server.address() as AddressInfo).port;
-  const two = (http2.address() as AddressInfo).port;
-  process.stdout.write(`${one} ${two}\n`);
+  const http1Port = (app.server.address() as AddressInfo).port;
+  const http2Port = (http2.address() as AddressInfo).port;
+  process.stdout.write(`${http1Port} ${http2Port}\n`);
 });
--- a/bench/hop/main.ts
+++ b/bench/hop/main.ts
@@ -15,14 +15,14 @@
 import { kSampleConfig } from '../../tests/support/sampleConfig.js';
 import { type Latencies, runInterleaved } from '../support/openLoop.js';
 
-const kPerSecond = 300;
-const kWarmSeconds = 4;
-const kSeconds = 10;
+const kCallsPerSecond = 300;
+const kWarmupSeconds = 4;
+const kRoundSeconds = 10;
 const kRounds = 3;
 const kBody = Buffer.alloc(256, 'b');
-const kGoal = { p50: 0.4, p99: 0.78 };
+const kGoalMs = { p50: 0.4, p99: 0.78 };
 
-function post(pool: Pool, path: string): () => Promise<boolean> {
+function makePutCall(pool: Pool, path: string): () => Promise<boolean> {
   return async () => {
     const res = await pool.request({ method: 'PUT', path, body: kBody, headers: { 'content-type': 'application/octet-stream' } });
     await res.body.arrayBuffer();
@@ -30,37 +30,41 @@
   };
 }
 
-async function compareWays(): Promise<Record<string, Latencies>> {
+async function compareTransports(): Promise<Record<string, Latencies>> {
   const server = spawn(process.execPath, [fileURLToPath(new URL('./hopServer.js', import.meta.url))], {
     stdio: ['ignore', 'pipe', 'inherit'],
   });
-  const line = await new Promise<string>((resolve) => {
+  const portsLine = await new Promise<string>((resolve) => {
     server.stdout.once('data', (data: Buffer) => {
       resolve(data.toString());
     });
   });
-  const [one, two] = line.trim().split(' ');
-  const client = (port: string | undefined, httpVersion: '1.1' | '2'): (() => Promise<boolean>) => {
+  const [http1Port, http2Port] = portsLine.trim().split(' ');
+  const makeConnectCall = (port: string | undefined, httpVersion: '1.1' | '2'): (() => Promise<boolean>) => {
     const peers = createClient(
       PeerService,
       createConnectTransport({ baseUrl: `http://127.0.0.1:${port ?? ''}`, httpVersion, useBinaryFormat: true }),
     );
     return async () => (await peers.fetchAnswer({ key: 'k'.repeat(256) })).body.length === 1_024;
   };
-  const pool = new Pool(`http://127.0.0.1:${one ?? ''}`, { connections: 32 });
-  const plain = async (): Promise<boolean> => {
+  const pool = new Pool(`http://127.0.0.1:${http1Port ?? ''}`, { connections: 32 });
+  const plainCall = async (): Promise<boolean> => {
     const res = await pool.request({ method: 'POST', path: '/plain', body: kBody });
     return (await res.body.arrayBuffer()).byteLength === 1_024;
   };
-  const loads = { 'undici HTTP/1.1': plain, 'connect HTTP/1.1': client(one, '1.1'), 'connect HTTP/2': client(two, '2') };
-  await runInterleaved(loads, kPerSecond, kWarmSeconds);
-  const results = await runInterleaved(loads, kPerSecond, kSeconds);
+  const loads = {
+    'undici HTTP/1.1': plainCall,
+    'connect HTTP/1.1': makeConnectCall(http1Port, '1.1'),
+    'connect HTTP/2': makeConnectCall(http2Port, '2'),
+  };
+  await runInterleaved(loads, kCallsPerSecond, kWarmupSeconds);
+  const results = await runInterleaved(loads, kCallsPerSecond, kRoundSeconds);
   server.kill();
   await pool.destroy();
   return results;
 }
 
-async function addedByLayer(): Promise<{ direct: Latencies; layer: Latencies }[]> {
+async function measureLayer(): Promise<{ direct: Latencies; layer: Latencies }[]> {
   const fleet = await Fleet.start([
     { id: 'a1', zone: 'east' },
     { id: 'b1', zone: 'east', service: 'alpha', behaviour: { workMs: 0, slots: 1_000, echo: true } },
@@ -70,11 +74,11 @@
     await fleet.untilTargets('alpha', 1);
     const direct = new Pool(fleet.host('b1').targetUrl, { connections: 32 });
     const layer = new Pool(`http://${fleet.host('a1').address}`, { connections: 32 });
-    const loads = { direct: post(direct, '/x'), layer: post(layer, '/alpha/x') };
-    await runInterleaved(loads, kPerSecond, kWarmSeconds);
+    const loads = { direct: makePutCall(direct, '/x'), layer: makePutCall(layer, '/alpha/x') };
+    await runInterleaved(loads, kCallsPerSecond, kWarmupSeconds);
     const rounds = [];
     for (let i = 0; i < kRounds; i++) {
-      const { direct: d, layer: l } = await runInterleaved(loads, kPerSecond, kSeconds);
+      const { direct: d, layer: l } = await runInterleaved(loads, kCallsPerSecond, kRoundSeconds);
       if (d && l) {
         rounds.push({ direct: d, layer: l });
       }
@@ -91,15 +95,15 @@
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
-function round(value: number): number {
+function roundToMicros(value: number): number {
   return Math.round(value * 1_000) / 1_000;
 }
 
-const ways = await compareWays();
-console.log(`one hop, ${kPerSecond} calls/s each, 256 B up, 1 KB down, separate processes`);
-console.table(ways);
-const rounds = await addedByLayer();
-console.log(`caller to target by two daemons against the direct call, ${kPerSecond} calls/s, ${kRounds} rounds of ${kSeconds} s`);
+const transports = await compareTransports();
+console.log(`one hop, ${kCallsPerSecond} calls/s each, 256 B up, 1 KB down, separate processes`);
+console.table(transports);
+const rounds = await measureLayer();
+console.log(`caller to target by two daemons against the direct call, ${kCallsPerSecond} calls/s, ${kRounds} rounds of ${kRoundSeconds} s`);
 console.table(
   rounds.map(({ direct, layer }) => ({
     direct_p50: direct.p50,
@@ -110,8 +114,8 @@
   })),
 );
 const added = {
-  added_p50_ms: round(median(rounds.map(({ direct, layer }) => layer.p50 - direct.p50))),
-  added_p99_ms: round(median(rounds.map(({ direct, layer }) => layer.p99 - direct.p99))),
+  added_p50_ms: roundToMicros(median(rounds.map(({ direct, layer }) => layer.p50 - direct.p50))),
+  added_p99_ms: roundToMicros(median(rounds.map(({ direct, layer }) => layer.p99 - direct.p99))),
 };
-console.log(JSON.stringify({ ...added, goal_p50_ms: kGoal.p50, goal_p99_ms: kGoal.p99 }));
+console.log(JSON.stringify({ ...added, goal_p50_ms: kGoalMs.p50, goal_p99_ms: kGoalMs.p99 }));
 process.exit(0);
--- a/bench/hop/oneLoop.ts
+++ b/bench/hop/oneLoop.ts
@@ -16,9 +16,9 @@
 import { kSampleConfig } from '../../tests/support/sampleConfig.js';
 import { runInterleaved } from '../support/openLoop.js';
 
-const kPerSecond = 300;
-const kWarmSeconds = 4;
-const kSeconds = Number(process.argv[2] ?? 8);
+const kCallsPerSecond = 300;
+const kWarmupSeconds = 4;
+const kRoundSeconds = Number(process.argv[2] ?? 8);
 const kRounds = 3;
 const kPortA = 17_411;
 const kPortB = 17_412;
@@ -32,7 +32,7 @@
   return daemon;
 }
 
-function put(pool: Pool, path: string): () => Promise<boolean> {
+function makePutCall(pool: Pool, path: string): () => Promise<boolean> {
   return async () => {
     const res = await pool.request({ method: 'PUT', path, body: kBody, headers: { 'content-type': 'application/octet-stream' } });
     await res.body.arrayBuffer();
@@ -41,10 +41,10 @@
 }
 
 const log = await new LogStandin().listen();
-const level = process.argv[3] ?? 'info';
-const a = await startDaemon('a1', kPortA, log, level);
-await startDaemon('b1', kPortB, log, level);
-await a.config.submit({ patchId: 'bench-patch', base: 0, author: 'bench', patch: configSchema.parse(kSampleConfig) });
+const logLevel = process.argv[3] ?? 'info';
+const entryDaemon = await startDaemon('a1', kPortA, log, logLevel);
+await startDaemon('b1', kPortB, log, logLevel);
+await entryDaemon.config.submit({ patchId: 'bench-patch', base: 0, author: 'bench', patch: configSchema.parse(kSampleConfig) });
 const target = new TargetStandin(
   { target: 't1', service: 'alpha', daemon: `127.0.0.1:${kPortB}` },
   { workMs: 0, slots: 1_000, echo: true },
@@ -52,20 +52,20 @@
 await target.start();
 await new Promise((resolve) => setTimeout(resolve, 2_000));
 const loads = {
-  direct: put(new Pool(target.url, { connections: 32 }), '/x'),
-  layer: put(new Pool(`http://127.0.0.1:${kPortA}`, { connections: 32 }), '/alpha/x'),
+  direct: makePutCall(new Pool(target.url, { connections: 32 }), '/x'),
+  layer: makePutCall(new Pool(`http://127.0.0.1:${kPortA}`, { connections: 32 }), '/alpha/x'),
 };
-await runInterleaved(loads, kPerSecond, kWarmSeconds);
+await runInterleaved(loads, kCallsPerSecond, kWarmupSeconds);
 const added: { p50: number; p99: number }[] = [];
 for (let i = 0; i < kRounds; i++) {
-  const { direct, layer } = await runInterleaved(loads, kPerSecond, kSeconds);
+  const { direct, layer } = await runInterleaved(loads, kCallsPerSecond, kRoundSeconds);
   if (direct && layer) {
     process.stderr.write(`${JSON.stringify({ direct, layer })}\n`);
     added.push({ p50: layer.p50 - direct.p50, p99: layer.p99 - direct.p99 });
   }
 }
-const middle = (values: number[]): number => [...values].sort((x, y) => x - y)[Math.floor(values.length / 2)] ?? 0;
+const median = (values: number[]): number => [...values].sort((x, y) => x - y)[Math.floor(values.length / 2)] ?? 0;
 process.stderr.write(
-  `${JSON.stringify({ one_loop_added_p50_ms: middle(added.map((x) => x.p50)), one_loop_added_p99_ms: middle(added.map((x) => x.p99)) })}\n`,
+  `${JSON.stringify({ one_loop_added_p50_ms: median(added.map((x) => x.p50)), one_loop_added_p99_ms: median(added.map((x) => x.p99)) })}\n`,
 );
 process.exit(0);
