--- a/bench/matrix/main.ts
+++ b/bench/matrix/main.ts
@@ -8,20 +8,20 @@
 import { uncoveredFaults, runMatrix } from '../../tests/matrix/runMatrix.js';
 import { kScenarios } from '../../tests/matrix/scenarios.js';
 
-const kShown = 20;
+const kMaxShown = 20;
 
 const report = runMatrix(kScenarios, () => true);
-const empty = uncoveredFaults(report);
+const uncovered = uncoveredFaults(report);
 console.log('cells by effect and fault; the scenarios are deterministic, seed 1 for routing');
 console.table([...report.cellsByFault].sort().map(([row, cells]) => ({ row, cells })));
-report.violations.slice(0, kShown).forEach((violation) => {
+report.violations.slice(0, kMaxShown).forEach((violation) => {
   console.log(violation);
 });
-empty.forEach((row) => {
+uncovered.forEach((row) => {
   console.log(`no cell: ${row}`);
 });
-report.notInjected.slice(0, kShown).forEach((step) => {
+report.notInjected.slice(0, kMaxShown).forEach((step) => {
   console.log(`missed: ${step}`);
 });
 console.log(JSON.stringify({ cells: report.cells, violations: report.violations.length, pairs: report.pairs }));
-process.exit(report.violations.length + empty.length + report.notInjected.length === 0 ? 0 : 1);
+process.exit(report.violations.length + uncovered.length + report.notInjected.length === 0 ? 0 : 1);
