--- a/bench/policy/baselinePolicies.ts
+++ b/bench/policy/baselinePolicies.ts
@@ -6,20 +6,20 @@
 /** The usual ways: naive retries at every hop, and a static limit with a queue and a retry budget per hop. */
 
 import type { Cancel } from './fakeTarget.js';
-import type { CallEnd, Policy } from './policy.js';
+import type { CallResult, Policy } from './policy.js';
 import type { ChainCall, Host, World } from './world.js';
 
-const kAttemptMs = 1_000;
-const kResetMs = 1;
+const kAttemptTimeoutMs = 1_000;
+const kResetDelayMs = 1;
 const kNaiveRetries = 3;
 const kBudgetRetries = 2;
-const kBudgetRatio = 0.1;
-const kBudgetBurst = 10;
+const kRetryBudgetRatio = 0.1;
+const kRetryBudgetBurst = 10;
 /** Calls that may wait at a static gate, per slot. */
 const kQueuePerSlot = 2;
 
 /** One attempt: sends a call to a host, and learns how it went. */
-type Attempt = (from: Host, to: Host, call: ChainCall, done: (ok: boolean) => void) => Cancel;
+type SendAttempt = (from: Host, to: Host, call: ChainCall, done: (ok: boolean) => void) => Cancel;
 
 /** No control: three retries at every hop, at once; targets queue without bound, and nothing is cancelled. */
 export class NaivePolicy implements Policy {
@@ -27,13 +27,13 @@
 
   constructor(private readonly _world: World) {}
 
-  call(from: Host, call: ChainCall, _parent: string | undefined, done: (end: CallEnd) => void): Cancel {
+  call(from: Host, call: ChainCall, _parent: string | undefined, done: (result: CallResult) => void): Cancel {
     this._world.counters.firstOffers++;
     this._try(from, call, kNaiveRetries, done);
     return () => undefined;
   }
 
-  private _try(from: Host, call: ChainCall, left: number, done: (end: CallEnd) => void): void {
+  private _try(from: Host, call: ChainCall, retriesLeft: number, done: (result: CallResult) => void): void {
     const hosts = this._world.hostsOf(call.load.chain[call.step] ?? '');
     const to = hosts[Math.floor(this._world.random() * hosts.length)];
     if (!to) {
@@ -41,11 +41,11 @@
       return;
     }
     sendDirect(this._world, this, from, to, call, (ok) => {
-      if (ok || left === 0 || !call.load.idempotent || this._world.time.now >= call.deadline) {
+      if (ok || retriesLeft === 0 || !call.load.idempotent || this._world.time.now >= call.deadline) {
         done({ ok, retryAfter: false });
       } else {
         this._world.counters.repeats++;
-        this._try(from, call, left - 1, done);
+        this._try(from, call, retriesLeft - 1, done);
       }
     });
   }
@@ -61,32 +61,32 @@
     this._gates = _world.hosts.map((host) => new StaticGate(host.slots));
   }
 
-  call(from: Host, call: ChainCall, _parent: string | undefined, done: (end: CallEnd) => void): Cancel {
+  call(from: Host, call: ChainCall, _parent: string | undefined, done: (result: CallResult) => void): Cancel {
     this._world.counters.firstOffers++;
     const budget = `${from.name}/${call.load.chain[call.step] ?? ''}`;
-    this._budgets.set(budget, Math.min(kBudgetBurst, (this._budgets.get(budget) ?? kBudgetBurst) + kBudgetRatio));
+    this._budgets.set(budget, Math.min(kRetryBudgetBurst, (this._budgets.get(budget) ?? kRetryBudgetBurst) + kRetryBudgetRatio));
     let cancel: Cancel = () => undefined;
-    const tryOnce = (left: number): void => {
+    const attempt = (retriesLeft: number): void => {
       const to = this._choose(call.load.chain[call.step] ?? '');
       cancel = this._send(from, to, call, (ok) => {
-        if (ok || left === 0 || !call.load.idempotent || this._world.time.now >= call.deadline || !this._spend(budget)) {
+        if (ok || retriesLeft === 0 || !call.load.idempotent || this._world.time.now >= call.deadline || !this._takeRetryToken(budget)) {
           done({ ok, retryAfter: false });
         } else {
           this._world.counters.repeats++;
-          tryOnce(left - 1);
+          attempt(retriesLeft - 1);
         }
       });
     };
-    tryOnce(kBudgetRetries);
+    attempt(kBudgetRetries);
     return () => {
       cancel();
     };
   }
 
-  private _spend(budget: string): boolean {
-    const left = this._budgets.get(budget) ?? 0;
-    this._budgets.set(budget, left >= 1 ? left - 1 : left);
-    return left >= 1;
+  private _takeRetryToken(budget: string): boolean {
+    const tokens = this._budgets.get(budget) ?? 0;
+    this._budgets.set(budget, tokens >= 1 ? tokens - 1 : tokens);
+    return tokens >= 1;
   }
 
   /** The less loaded of two random targets, by their own reports. */
@@ -97,10 +97,10 @@
     if (!a || !b) {
       throw new Error(`expected targets of ${service}`);
     }
-    return a.target.reported <= b.target.reported ? a : b;
+    return a.target.reportedLoad <= b.target.reportedLoad ? a : b;
   }
 
-  private readonly _send: Attempt = (from, to, call, done) => {
+  private readonly _send: SendAttempt = (from, to, call, done) => {
     const gate = this._gates[to.index];
     let cancel: Cancel = () => undefined;
     let open = true;
@@ -111,24 +111,24 @@
         done(ok);
       }
     };
-    const timer = this._world.time.after(Math.min(kAttemptMs, call.deadline - this._world.time.now), () => {
+    const timer = this._world.time.schedule(Math.min(kAttemptTimeoutMs, call.deadline - this._world.time.now), () => {
       cancel();
       finish(false);
     });
-    const delay = this._world.delay(from, to);
-    if (delay !== undefined && gate) {
-      this._world.time.after(delay, () => {
+    const delayMs = this._world.delayMs(from, to);
+    if (delayMs !== undefined && gate) {
+      this._world.time.schedule(delayMs, () => {
         if (open) {
           cancel = gate.enter(
-            (left) =>
+            (release) =>
               sendDirect(this._world, this, to, to, call, (ok) => {
-                left();
-                this._world.time.after(delay, () => {
+                release();
+                this._world.time.schedule(delayMs, () => {
                   finish(ok);
                 });
               }),
             () => {
-              this._world.time.after(delay, () => {
+              this._world.time.schedule(delayMs, () => {
                 finish(false);
               });
             },
@@ -144,54 +144,54 @@
   };
 }
 
-interface Waiting {
-  start: (left: () => void) => Cancel;
+interface GateEntry {
+  start: (release: () => void) => Cancel;
   cancel: Cancel | undefined;
-  gone: boolean;
+  closed: boolean;
 }
 
 /** A fixed number of calls at once, and a bounded queue. */
 class StaticGate {
   private _running = 0;
-  private readonly _queue: Waiting[] = [];
+  private readonly _queue: GateEntry[] = [];
 
   constructor(private readonly _slots: number) {}
 
   /** Starts a call when there is room; `refused` is called when there is none to wait in either. */
-  enter(start: (left: () => void) => Cancel, refused: () => void): Cancel {
-    const waiting: Waiting = { start, cancel: undefined, gone: false };
+  enter(start: (release: () => void) => Cancel, onRefused: () => void): Cancel {
+    const waiting: GateEntry = { start, cancel: undefined, closed: false };
     if (this._running < this._slots) {
       this._start(waiting);
     } else if (this._queue.length < this._slots * kQueuePerSlot) {
       this._queue.push(waiting);
     } else {
-      refused();
+      onRefused();
     }
     return () => {
-      if (!waiting.gone) {
-        waiting.gone = true;
+      if (!waiting.closed) {
+        waiting.closed = true;
         if (waiting.cancel) {
           waiting.cancel();
-          this._leave();
+          this._release();
         }
       }
     };
   }
 
-  private _start(waiting: Waiting): void {
+  private _start(waiting: GateEntry): void {
     this._running++;
     waiting.cancel = waiting.start(() => {
-      if (!waiting.gone) {
-        waiting.gone = true;
-        this._leave();
+      if (!waiting.closed) {
+        waiting.closed = true;
+        this._release();
       }
     });
   }
 
-  private _leave(): void {
+  private _release(): void {
     this._running--;
     for (let next = this._queue.shift(); next; next = this._queue.shift()) {
-      if (!next.gone) {
+      if (!next.closed) {
         this._start(next);
         return;
       }
@@ -201,7 +201,7 @@
 
 /** Sends a call to a target over the network, without any gate. */
 function sendDirect(world: World, policy: Policy, from: Host, to: Host, call: ChainCall, done: (ok: boolean) => void): Cancel {
-  const delay = from === to ? 0 : world.delay(from, to);
+  const delayMs = from === to ? 0 : world.delayMs(from, to);
   let ended = false;
   const finish = (ok: boolean): void => {
     if (!ended) {
@@ -210,14 +210,14 @@
       done(ok);
     }
   };
-  const timer = world.time.after(Math.min(kAttemptMs, call.deadline - world.time.now), () => {
+  const timer = world.time.schedule(Math.min(kAttemptTimeoutMs, call.deadline - world.time.now), () => {
     finish(false);
   });
   let cancel: Cancel = () => undefined;
-  if (delay !== undefined) {
-    world.time.after(delay, () => {
-      if (to.dead) {
-        world.time.after(kResetMs, () => {
+  if (delayMs !== undefined) {
+    world.time.schedule(delayMs, () => {
+      if (to.crashed) {
+        world.time.schedule(kResetDelayMs, () => {
           finish(false);
         });
         return;
@@ -231,12 +231,12 @@
                   onwardDone(ok);
                 })
             : undefined,
-        started: () => {
-          world.started(call.root);
+        onStarted: () => {
+          world.recordStart(call.root);
         },
-        done: (how) => {
-          world.time.after(delay, () => {
-            finish(how === 'ok');
+        onDone: (outcome) => {
+          world.time.schedule(delayMs, () => {
+            finish(outcome === 'ok');
           });
         },
       });
--- a/bench/policy/deployment.ts
+++ b/bench/policy/deployment.ts
@@ -30,25 +30,25 @@
 export interface Deployment {
   name: string;
   zones: string[];
-  zoneMs: number;
+  interZoneDelayMs: number;
   services: ServicePlan[];
   loads: LoadPlan[];
 }
 
 /** Retries that a request of an idempotent class may spend over its chain. */
-export const kAllowance = 3;
+export const kRetryAllowance = 3;
 /** Time for one try of a root request, in milliseconds. */
 export const kDeadlineMs = 2_000;
 /** Network time within a zone, one way, in milliseconds. */
-export const kNearMs = 0.2;
+export const kIntraZoneDelayMs = 0.2;
 /** Network time between caller and daemon, one way, in milliseconds. */
-export const kCallerMs = 1;
+export const kClientDelayMs = 1;
 
 /** Tengerline: three zones; hazards is the narrow service at the end of every chain. */
 export const kTengerline: Deployment = {
   name: 'tengerline',
   zones: ['bayanzurkh', 'khan-uul', 'songino'],
-  zoneMs: 1.5,
+  interZoneDelayMs: 1.5,
   services: [
     { name: 'archive', targets: 4, slots: 150, workMs: 40 },
     { name: 'defects', targets: 3, slots: 200, workMs: 40 },
@@ -67,7 +67,7 @@
 export const kShelters: Deployment = {
   name: 'shelters',
   zones: ['hala-1', 'hala-2', 'hala-3', 'hala-4'],
-  zoneMs: 1,
+  interZoneDelayMs: 1,
   services: [
     { name: 'arhiva', targets: 4, slots: 45, workMs: 25 },
     { name: 'evidenta', targets: 4, slots: 45, workMs: 25 },
@@ -82,26 +82,26 @@
   ],
 };
 
-const kDepth = 28;
+const kDeepChainLength = 28;
 
 /** A chain of 28 calls over 26 services, each with two targets. */
 export const kDeepChain: Deployment = {
   name: 'deep',
   zones: ['one', 'two'],
-  zoneMs: 1.5,
+  interZoneDelayMs: 1.5,
   services: Array.from({ length: 26 }, (_, i) => ({ name: `s${i}`, targets: 2, slots: 200, workMs: 5 })),
   loads: [
     {
       name: 'deep-read',
       importance: 'normal',
       idempotent: true,
-      chain: Array.from({ length: kDepth }, (_, i) => `s${i % 26}`),
+      chain: Array.from({ length: kDeepChainLength }, (_, i) => `s${i % 26}`),
       perSecond: 60,
     },
   ],
 };
 
 /** Service with the fewest slots, at the end of the chains. */
-export function narrowService(deployment: Deployment): ServicePlan {
+export function bottleneckService(deployment: Deployment): ServicePlan {
   return deployment.services.reduce((a, b) => (b.targets * b.slots <= a.targets * a.slots ? b : a));
 }
--- a/bench/policy/fakeTarget.ts
+++ b/bench/policy/fakeTarget.ts
@@ -16,32 +16,32 @@
   /** Makes the onward call, if the chain goes on; calls back whether it went well. */
   onward: ((done: (ok: boolean) => void) => Cancel) | undefined;
   /** Called when the work starts. */
-  started: () => void;
+  onStarted: () => void;
   /** Called once with the end, unless the call was cancelled. */
-  done: (end: 'ok' | 'failed' | 'dead') => void;
+  onDone: (result: 'ok' | 'failed' | 'dead') => void;
 }
 
-interface Work {
+interface ActiveCall {
   call: TargetCall;
   phase: 'queued' | 'running' | 'ended';
   timer: Scheduled | undefined;
   cancelOnward: Cancel | undefined;
 }
 
-const kColdMs = 5_000;
-const kColdFactor = 3;
+const kWarmupMs = 5_000;
+const kColdSlowdown = 3;
 
 /** A target. */
 export class FakeTarget {
-  dead = false;
+  crashed = false;
   slowFactor = 1;
   failureRate = 0;
   /** What its load report says instead of the truth. */
-  lie: ((truth: number) => number) | undefined;
+  reportedLoadOverride: ((actualLoad: number) => number) | undefined;
   private _running = 0;
-  private readonly _queue: Work[] = [];
-  private readonly _open = new Set<Work>();
-  private _bornAt = -Infinity;
+  private readonly _queue: ActiveCall[] = [];
+  private readonly _active = new Set<ActiveCall>();
+  private _restartedAt = -Infinity;
 
   constructor(
     private readonly _time: VirtualTime,
@@ -51,52 +51,52 @@
   ) {}
 
   /** Load that the target reports, in calls per slot. */
-  get reported(): number {
-    const truth = (this._running + this._queue.length) / this._slots;
-    return this.lie ? this.lie(truth) : truth;
+  get reportedLoad(): number {
+    const actualLoad = (this._running + this._queue.length) / this._slots;
+    return this.reportedLoadOverride ? this.reportedLoadOverride(actualLoad) : actualLoad;
   }
 
   /** Dies: everything that it has is lost. */
-  die(): void {
-    this.dead = true;
-    for (const work of [...this._open]) {
-      this._end(work);
-      work.call.done('dead');
+  crash(): void {
+    this.crashed = true;
+    for (const work of [...this._active]) {
+      this._remove(work);
+      work.call.onDone('dead');
     }
   }
 
   /** Is replaced by a cold one. */
   restart(): void {
-    this.dead = false;
-    this._bornAt = this._time.now;
+    this.crashed = false;
+    this._restartedAt = this._time.now;
   }
 
   /** Takes a call. It accepts cancellation: the slot is free at once. */
   serve(call: TargetCall): Cancel {
-    const work: Work = { call, phase: 'queued', timer: undefined, cancelOnward: undefined };
-    this._open.add(work);
+    const work: ActiveCall = { call, phase: 'queued', timer: undefined, cancelOnward: undefined };
+    this._active.add(work);
     if (this._running < this._slots) {
       this._start(work);
     } else {
       this._queue.push(work);
     }
     return () => {
-      this._end(work);
+      this._remove(work);
     };
   }
 
-  private _start(work: Work): void {
+  private _start(work: ActiveCall): void {
     this._running++;
     work.phase = 'running';
-    work.call.started();
-    const cold = this._time.now - this._bornAt < kColdMs ? kColdFactor : 1;
+    work.call.onStarted();
+    const coldSlowdown = this._time.now - this._restartedAt < kWarmupMs ? kColdSlowdown : 1;
     const spread = 0.5 + this._random();
-    work.timer = this._time.after(this._workMs * spread * cold * this.slowFactor, () => {
-      this._goOnward(work);
+    work.timer = this._time.schedule(this._workMs * spread * coldSlowdown * this.slowFactor, () => {
+      this._callOnward(work);
     });
   }
 
-  private _goOnward(work: Work): void {
+  private _callOnward(work: ActiveCall): void {
     if (this._random() < this.failureRate) {
       this._finish(work, 'failed');
     } else if (work.call.onward) {
@@ -108,27 +108,27 @@
     }
   }
 
-  private _finish(work: Work, end: 'ok' | 'failed'): void {
+  private _finish(work: ActiveCall, result: 'ok' | 'failed'): void {
     if (work.phase !== 'running') {
       return;
     }
     work.cancelOnward = undefined;
-    this._end(work);
-    work.call.done(end);
+    this._remove(work);
+    work.call.onDone(result);
   }
 
-  private _end(work: Work): void {
-    const ran = work.phase === 'running';
+  private _remove(work: ActiveCall): void {
+    const wasRunning = work.phase === 'running';
     if (work.phase === 'ended') {
       return;
     }
     work.phase = 'ended';
-    this._open.delete(work);
+    this._active.delete(work);
     if (work.timer) {
       this._time.cancel(work.timer);
     }
     work.cancelOnward?.();
-    if (ran) {
+    if (wasRunning) {
       this._running--;
       this._startNext();
     }
--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -34,21 +34,21 @@
   Suspects,
 } from '@gentiandrum/core';
 import type { OfferTerms } from '@gentiandrum/protocol';
-import { kAllowance, kDeadlineMs } from './deployment.js';
+import { kRetryAllowance, kDeadlineMs } from './deployment.js';
 import type { Cancel } from './fakeTarget.js';
-import type { CallEnd, Policy } from './policy.js';
+import type { CallResult, Policy } from './policy.js';
 import type { ChainCall, Host, World } from './world.js';
 import type { Scheduled } from './virtualTime.js';
 
 const kRetryRatio = 0.1;
 /** Time after which others stop sending to a dead host, and to one that they can't reach. */
-const kDetectMs = 3_000;
-const kResetMs = 1;
+const kFailureDetectionMs = 3_000;
+const kResetDelayMs = 1;
 /** Time after which a suspected daemon is pinged again. */
-const kPingMs = 1_000;
+const kPingIntervalMs = 1_000;
 const kPayload = { method: 'GET', path: '/', headers: {}, body: new Uint8Array() };
-const kAnswer = { status: 200, headers: {}, body: new Uint8Array() };
-const kFailed = { status: 500, headers: {}, body: new Uint8Array() };
+const kOkResponse = { status: 200, headers: {}, body: new Uint8Array() };
+const kErrorResponse = { status: 500, headers: {}, body: new Uint8Array() };
 
 interface Daemon {
   host: Host;
@@ -56,14 +56,14 @@
   ledger: RetryLedger;
   serve: ServeContext;
   gateContext: GateContext;
-  waiting: Map<string, (end: AdmissionResult) => void>;
+  waiting: Map<string, (result: AdmissionResult) => void>;
   /** Cancels what runs at the target, by attempt. */
   running: Map<string, Cancel>;
-  knownGone: Set<string>;
+  unreachable: Set<string>;
 }
 
 /** Makes one call wait for its events. */
-class Session {
+class CallEventQueue {
   private readonly _events: CallEvent[] = [];
   private _resume: ((event: CallEvent) => void) | undefined;
   private _timer: Scheduled | undefined;
@@ -90,7 +90,7 @@
       return;
     }
     this._resume = resume;
-    this._timer = this._world.time.after(until - this._world.time.now, () => {
+    this._timer = this._world.time.schedule(until - this._world.time.now, () => {
       this._resume = undefined;
       resume({ kind: 'timeout' });
     });
@@ -114,91 +114,96 @@
     this._daemons = _world.hosts.map((host) => this._makeDaemon(host));
   }
 
-  call(from: Host, chainCall: ChainCall, parent: string | undefined, done: (end: CallEnd) => void): Cancel {
-    const session = new Session(this._world);
+  call(from: Host, chainCall: ChainCall, parent: string | undefined, done: (result: CallResult) => void): Cancel {
+    const eventQueue = new CallEventQueue(this._world);
     const call = this._makeCall(chainCall, parent);
     this._chainCalls.set(call.id, chainCall);
     const daemon = this._daemon(from);
-    let open = true;
+    let pending = true;
     this._world.counters.firstOffers++;
-    this._drive(serveCall(call, daemon.serve), daemon, session, (served) => {
+    this._runProcedure(serveCall(call, daemon.serve), daemon, eventQueue, (served) => {
       this._chainCalls.delete(call.id);
-      if (open) {
-        open = false;
+      if (pending) {
+        pending = false;
         done({ ok: served.kind === 'answer' && served.answer.status < 500, retryAfter: served.kind === 'error' });
       }
     });
     return () => {
-      open = false;
-      session.push({ kind: 'caller_gone' });
+      pending = false;
+      eventQueue.push({ kind: 'caller_gone' });
     };
   }
 
-  hostChanged(host: Host): void {
-    const gone = host.dead;
-    this._world.time.after(gone ? kDetectMs : 0, () => {
+  onHostChanged(host: Host): void {
+    const crashed = host.crashed;
+    this._world.time.schedule(crashed ? kFailureDetectionMs : 0, () => {
       for (const daemon of this._daemons) {
-        this._setKnown(daemon, host, gone && host.dead);
+        this._setUnreachable(daemon, host, crashed && host.crashed);
       }
     });
-    if (!gone) {
+    if (!crashed) {
       this._daemons[host.index] = this._makeDaemon(host);
     }
   }
 
   /** A cut zone is noticed as dead hosts are. */
-  zoneChanged(): void {
-    this._world.time.after(kDetectMs, () => {
+  onZonesChanged(): void {
+    this._world.time.schedule(kFailureDetectionMs, () => {
       for (const daemon of this._daemons) {
         for (const host of this._world.hosts) {
-          this._setKnown(daemon, host, host.dead || this._world.delay(daemon.host, host) === undefined);
+          this._setUnreachable(daemon, host, host.crashed || this._world.delayMs(daemon.host, host) === undefined);
         }
       }
     });
   }
 
   /** A daemon that can't be connected to is left out until a ping finds it again. */
-  private _suspect(knownGone: Set<string>, from: Host, target: string): void {
-    knownGone.add(target);
+  private _markUnreachable(unreachable: Set<string>, from: Host, target: string): void {
+    unreachable.add(target);
     const ping = (): void => {
       const host = this._world.hostNamed(target);
-      if (host && !host.dead && this._world.delay(from, host) !== undefined) {
-        knownGone.delete(target);
+      if (host && !host.crashed && this._world.delayMs(from, host) !== undefined) {
+        unreachable.delete(target);
       } else {
-        this._world.time.after(kPingMs, ping);
+        this._world.time.schedule(kPingIntervalMs, ping);
       }
     };
-    this._world.time.after(kPingMs, ping);
+    this._world.time.schedule(kPingIntervalMs, ping);
   }
 
-  private _setKnown(daemon: Daemon, host: Host, gone: boolean): void {
-    if (gone) {
-      daemon.knownGone.add(host.name);
+  private _setUnreachable(daemon: Daemon, host: Host, unreachable: boolean): void {
+    if (unreachable) {
+      daemon.unreachable.add(host.name);
     } else {
-      daemon.knownGone.delete(host.name);
+      daemon.unreachable.delete(host.name);
     }
   }
 
-  private _drive<T>(procedure: Procedure<T>, daemon: Daemon, session: Session | undefined, ended: (value: T) => void): void {
+  private _runProcedure<T>(
+    procedure: Procedure<T>,
+    daemon: Daemon,
+    eventQueue: CallEventQueue | undefined,
+    onDone: (value: T) => void,
+  ): void {
     const resume = (reply: Reply): void => {
       const step = procedure.next(reply);
       if (step.done === true) {
-        ended(step.value);
+        onDone(step.value);
       } else {
-        this._perform(step.value, daemon, session, resume);
+        this._performEffect(step.value, daemon, eventQueue, resume);
       }
     };
     resume(undefined);
   }
 
-  private _perform(effect: Effect, daemon: Daemon, session: Session | undefined, resume: (reply: Reply) => void): void {
+  private _performEffect(effect: Effect, daemon: Daemon, eventQueue: CallEventQueue | undefined, resume: (reply: Reply) => void): void {
     switch (effect.type) {
       case 'offer':
-        this._offer(daemon, effect.attempt, effect.to, effect.terms, session);
+        this._offer(daemon, effect.attempt, effect.to, effect.terms, eventQueue);
         resume(undefined);
         return;
       case 'awaitEvent':
-        session?.await(effect.until, resume);
+        eventQueue?.await(effect.until, resume);
         return;
       case 'cancel':
         this._cancel(daemon, effect.attempt, effect.to, resume);
@@ -214,30 +219,30 @@
     }
   }
 
-  private _offer(from: Daemon, attempt: string, to: Candidate, terms: OfferTerms, session: Session | undefined): void {
+  private _offer(from: Daemon, attempt: string, to: Candidate, terms: OfferTerms, eventQueue: CallEventQueue | undefined): void {
     const call = this._chainCalls.get(terms.request);
     const host = this._world.hostNamed(to.target);
-    const delay = host && this._world.delay(from.host, host);
-    const back = (end: OfferResult, ms: number): void => {
-      this._world.time.after(ms, () => {
-        session?.push({ kind: 'ended', attempt, result: end });
+    const delayMs = host && this._world.delayMs(from.host, host);
+    const sendResult = (result: OfferResult, ms: number): void => {
+      this._world.time.schedule(ms, () => {
+        eventQueue?.push({ kind: 'ended', attempt, result });
       });
     };
-    if (!host || !call || delay === undefined) {
+    if (!host || !call || delayMs === undefined) {
       return;
     }
-    this._world.time.after(delay, () => {
-      if (host.dead) {
-        back({ kind: 'lost', written: false }, kResetMs);
+    this._world.time.schedule(delayMs, () => {
+      if (host.crashed) {
+        sendResult({ kind: 'lost', written: false }, kResetDelayMs);
         return;
       }
       const daemon = this._daemon(host);
       this._attempts.set(attempt, call);
-      this._drive(gateCall(terms, kPayload, daemon.gateContext), daemon, undefined, (end) => {
+      this._runProcedure(gateCall(terms, kPayload, daemon.gateContext), daemon, undefined, (result) => {
         this._attempts.delete(attempt);
-        const home = this._world.delay(host, from.host);
-        if (home !== undefined) {
-          back(end, home);
+        const returnDelayMs = this._world.delayMs(host, from.host);
+        if (returnDelayMs !== undefined) {
+          sendResult(result, returnDelayMs);
         }
       });
     });
@@ -245,12 +250,12 @@
 
   private _cancel(from: Daemon, attempt: string, to: Candidate, resume: (reply: Reply) => void): void {
     const host = this._world.hostNamed(to.target);
-    const delay = host && this._world.delay(from.host, host);
-    if (!host || host.dead || delay === undefined) {
+    const delayMs = host && this._world.delayMs(from.host, host);
+    if (!host || host.crashed || delayMs === undefined) {
       resume({ kind: 'unknown' });
       return;
     }
-    this._world.time.after(delay, () => {
+    this._world.time.schedule(delayMs, () => {
       const daemon = this._daemon(host);
       const beforeStart = daemon.gate.cancel(attempt);
       if (beforeStart) {
@@ -259,7 +264,7 @@
         waiting?.({ kind: 'cancelled' });
       }
       daemon.running.get(attempt)?.();
-      this._world.time.after(delay, () => {
+      this._world.time.schedule(delayMs, () => {
         resume({ kind: beforeStart ? 'before_start' : 'started' });
       });
     });
@@ -271,7 +276,7 @@
       throw new Error(`expected a known attempt, got ${attempt}`);
     }
     const next: ChainCall = { ...call, step: call.step + 1, deadline };
-    const end = (reply: Reply): void => {
+    const finish = (reply: Reply): void => {
       this._world.time.cancel(timer);
       daemon.running.delete(attempt);
       resume(reply);
@@ -284,18 +289,22 @@
                 done(ok);
               })
           : undefined,
-      started: () => {
-        this._world.started(call.root);
+      onStarted: () => {
+        this._world.recordStart(call.root);
       },
-      done: (how) => {
-        end(how === 'dead' ? { kind: 'lost', written: true } : { kind: 'answered', answer: how === 'ok' ? kAnswer : kFailed });
+      onDone: (outcome) => {
+        finish(
+          outcome === 'dead'
+            ? { kind: 'lost', written: true }
+            : { kind: 'answered', answer: outcome === 'ok' ? kOkResponse : kErrorResponse },
+        );
       },
     });
     const stop = (kind: 'timeout' | 'cancelled'): void => {
       cancel();
-      end({ kind });
+      finish({ kind });
     };
-    const timer = this._world.time.after(deadline - this._world.time.now, () => {
+    const timer = this._world.time.schedule(deadline - this._world.time.now, () => {
       stop('timeout');
     });
     daemon.running.set(attempt, () => {
@@ -304,11 +313,11 @@
   }
 
   private _makeDaemon(host: Host): Daemon {
-    const waiting = new Map<string, (end: AdmissionResult) => void>();
-    const admit = (id: string, end: AdmissionResult): void => {
+    const waiting = new Map<string, (result: AdmissionResult) => void>();
+    const admit = (id: string, result: AdmissionResult): void => {
       const resume = waiting.get(id);
       waiting.delete(id);
-      resume?.(end);
+      resume?.(result);
     };
     const events = {
       onStart: (call: GateCall) => {
@@ -319,10 +328,10 @@
       },
     };
     const favour = (): 'goodput' | 'recovery' => this._favour;
-    const cold = this._world.time.now > 0;
-    const gate = new Gate<GateCall>(host.slots, favour, events, cold ? this._world.time.now : -Infinity);
+    const restarted = this._world.time.now > 0;
+    const gate = new Gate<GateCall>(host.slots, favour, events, restarted ? this._world.time.now : -Infinity);
     const ledger = new RetryLedger();
-    const knownGone = new Set<string>();
+    const unreachable = new Set<string>();
     const gateContext: GateContext = {
       gate,
       target: host.name,
@@ -331,10 +340,10 @@
       seenAttempts: { add: () => true },
       logDecision: () => undefined,
     };
-    return { host, gate, ledger, waiting, running: new Map(), knownGone, gateContext, serve: this._makeServe(host, ledger, knownGone) };
+    return { host, gate, ledger, waiting, running: new Map(), unreachable, gateContext, serve: this._makeServe(host, ledger, unreachable) };
   }
 
-  private _makeServe(host: Host, ledger: RetryLedger, knownGone: Set<string>): ServeContext {
+  private _makeServe(host: Host, ledger: RetryLedger, unreachable: Set<string>): ServeContext {
     const ratios = new Map<string, RetryTokenBucket>();
     const candidates = new Map<string, Candidate[]>();
     for (const plan of this._world.deployment.services) {
@@ -355,9 +364,9 @@
     return {
       daemon: { id: host.name, incarnation: 1, address: '' },
       stopping: () => false,
-      candidates: (service) => (candidates.get(service) ?? []).filter((candidate) => !knownGone.has(candidate.target)),
+      candidates: (service) => (candidates.get(service) ?? []).filter((candidate) => !unreachable.has(candidate.target)),
       onUnreachable: ({ target }) => {
-        this._suspect(knownGone, host, target);
+        this._markUnreachable(unreachable, host, target);
       },
       unavailableTargets: () => 0,
       suspects: new Suspects({ broadcast: () => undefined, sendSome: () => undefined, onEvent: () => undefined }),
@@ -410,7 +419,7 @@
     const key = `${name}/${service}`;
     let cls = this._classes.get(key);
     if (!cls) {
-      const retries = idempotent ? kAllowance : 0;
+      const retries = idempotent ? kRetryAllowance : 0;
       cls = { name, service, methods: [], path: '/**', importance: 'normal', idempotent, deadlineMs: kDeadlineMs, retries };
       this._classes.set(key, cls);
     }
--- a/bench/policy/main.ts
+++ b/bench/policy/main.ts
@@ -55,9 +55,9 @@
   });
 }
 
-async function compare(part: string): Promise<void> {
+async function compare(nameFilter: string): Promise<void> {
   const jobs = kScenarios.flatMap((scenario, index) =>
-    `${scenario.deployment.name}/${scenario.name}`.includes(part) ? kPolicies.map((policy) => ({ index, policy })) : [],
+    `${scenario.deployment.name}/${scenario.name}`.includes(nameFilter) ? kPolicies.map((policy) => ({ index, policy })) : [],
   );
   const results = new Map<Job, Measures | undefined>();
   const queue = [...jobs].reverse();
--- a/bench/policy/policy.ts
+++ b/bench/policy/policy.ts
@@ -9,7 +9,7 @@
 import type { ChainCall, Host } from './world.js';
 
 /** How a call ended. */
-export interface CallEnd {
+export interface CallResult {
   ok: boolean;
   /** Whether the layer says when to come back. */
   retryAfter: boolean;
@@ -19,9 +19,9 @@
 export interface Policy {
   readonly name: string;
   /** Makes a call from a host; calls back once, unless it is cancelled. */
-  call(from: Host, call: ChainCall, parent: string | undefined, done: (end: CallEnd) => void): Cancel;
+  call(from: Host, call: ChainCall, parent: string | undefined, done: (result: CallResult) => void): Cancel;
   /** Told that a host died or came back; what the policy knows of it beforehand is its own matter. */
-  hostChanged?(host: Host): void;
+  onHostChanged?(host: Host): void;
   /** Told that zones were cut off or healed. */
-  zoneChanged?(): void;
+  onZonesChanged?(): void;
 }
--- a/bench/policy/runScenario.ts
+++ b/bench/policy/runScenario.ts
@@ -7,11 +7,11 @@
 
 import { kCohorts } from '@gentiandrum/core';
 import { NaivePolicy, StaticPolicy } from './baselinePolicies.js';
-import { kCallerMs, kDeadlineMs, type LoadPlan } from './deployment.js';
+import { kClientDelayMs, kDeadlineMs, type LoadPlan } from './deployment.js';
 import { idealPerSecond } from './ideal.js';
 import { LayerPolicy } from './layerPolicy.js';
 import type { Policy } from './policy.js';
-import { type Changes, kAfterMs, kTriggerAt, type Scenario } from './scenarios.js';
+import { type ChangeListener, kRecoveryObservationMs, kTriggerAtMs, type Scenario } from './scenarios.js';
 import { type Host, World } from './world.js';
 
 /** Names of the policies, in the order of the table. */
@@ -37,27 +37,27 @@
 }
 
 const kCallerRetries = 3;
-const kCallerPauseMs = 100;
+const kCallerBackoffMs = 100;
 const kCallerJitterMs = 200;
 const kWindowMs = 250;
-const kRecovered = 0.99;
+const kRecoveredRatio = 0.99;
 
-interface Request {
+interface RootRequest {
   load: LoadPlan;
-  at: number;
+  arrivedAt: number;
   /** Time of the whole answer; undefined while there is none. */
-  answeredAt: number | undefined;
-  firstTry: boolean;
+  completedAt: number | undefined;
+  succeededFirstTry: boolean;
 }
 
 /** One run. */
 class Run {
-  readonly requests: Request[] = [];
+  readonly requests: RootRequest[] = [];
   failedTries = new Set<string>();
   private readonly _policy: Policy;
   private readonly _world: World;
-  private _roots = 0;
-  private _surge = 1;
+  private _nextRoot = 0;
+  private _loadFactor = 1;
 
   constructor(
     private readonly _scenario: Scenario,
@@ -68,94 +68,94 @@
     this._policy = makePolicy(policy, this._world);
   }
 
-  measure(): Measures {
+  run(): Measures {
     const { time } = this._world;
     for (const load of this._scenario.deployment.loads) {
-      this._arrive(load);
+      this._scheduleArrival(load);
     }
-    time.runUntil(kTriggerAt);
-    this._surge = this._scenario.surge;
-    this._scenario.begin?.(this._world, this._changes());
-    const half = this._scenario.triggerMs / 2;
-    time.runUntil(kTriggerAt + half - 1);
-    const early = idealPerSecond(this._world, this._scenario);
-    time.runUntil(kTriggerAt + this._scenario.triggerMs);
-    const late = idealPerSecond(this._world, this._scenario);
-    this._surge = 1;
-    this._scenario.end?.(this._world, this._changes());
-    time.runUntil(kTriggerAt + this._scenario.triggerMs + kAfterMs);
+    time.runUntil(kTriggerAtMs);
+    this._loadFactor = this._scenario.loadFactor;
+    this._scenario.applyFault?.(this._world, this._changeListener());
+    const halfMs = this._scenario.triggerMs / 2;
+    time.runUntil(kTriggerAtMs + halfMs - 1);
+    const firstHalfIdeal = idealPerSecond(this._world, this._scenario);
+    time.runUntil(kTriggerAtMs + this._scenario.triggerMs);
+    const secondHalfIdeal = idealPerSecond(this._world, this._scenario);
+    this._loadFactor = 1;
+    this._scenario.clearFault?.(this._world, this._changeListener());
+    time.runUntil(kTriggerAtMs + this._scenario.triggerMs + kRecoveryObservationMs);
     time.restore();
-    return this._measures(new Map([...early].map(([name, rate]) => [name, (rate + (late.get(name) ?? 0)) / 2])));
+    return this._computeMeasures(new Map([...firstHalfIdeal].map(([name, rate]) => [name, (rate + (secondHalfIdeal.get(name) ?? 0)) / 2])));
   }
 
-  private _changes(): Changes {
+  private _changeListener(): ChangeListener {
     const policy = this._policy;
     return {
-      hostChanged: (host: Host) => {
-        policy.hostChanged?.(host);
+      onHostChanged: (host: Host) => {
+        policy.onHostChanged?.(host);
       },
-      zoneChanged: () => {
-        policy.zoneChanged?.();
+      onZonesChanged: () => {
+        policy.onZonesChanged?.();
       },
     };
   }
 
-  private _arrive(load: LoadPlan): void {
+  private _scheduleArrival(load: LoadPlan): void {
     const { time, random } = this._world;
-    const gapMs = (-Math.log(1 - random()) * 1_000) / (load.perSecond * this._surge);
-    time.after(gapMs, () => {
-      const req: Request = { load, at: time.now, answeredAt: undefined, firstTry: false };
+    const gapMs = (-Math.log(1 - random()) * 1_000) / (load.perSecond * this._loadFactor);
+    time.schedule(gapMs, () => {
+      const req: RootRequest = { load, arrivedAt: time.now, completedAt: undefined, succeededFirstTry: false };
       this.requests.push(req);
       this._try(req, 0);
-      this._arrive(load);
+      this._scheduleArrival(load);
     });
   }
 
   /** Callers ask any living host, and ask again soon when they get no answer. */
-  private _try(req: Request, tries: number): void {
+  private _try(req: RootRequest, tries: number): void {
     const { time, random, hosts } = this._world;
-    const living = hosts.filter((host) => !host.dead);
-    const host = living[Math.floor(random() * living.length)];
+    const runningHosts = hosts.filter((host) => !host.crashed);
+    const host = runningHosts[Math.floor(random() * runningHosts.length)];
     if (!host) {
       return;
     }
-    const root = `r${this._roots++}`;
+    const root = `r${this._nextRoot++}`;
     const call = { root, cohort: Math.floor(random() * kCohorts), load: req.load, step: 0, deadline: time.now + kDeadlineMs };
-    time.after(kCallerMs, () => {
+    time.schedule(kClientDelayMs, () => {
       this._policy.call(host, call, undefined, ({ ok }) => {
-        time.after(kCallerMs, () => {
-          this._ended(req, tries, root, ok && time.now <= call.deadline);
+        time.schedule(kClientDelayMs, () => {
+          this._onTryDone(req, tries, root, ok && time.now <= call.deadline);
         });
       });
     });
   }
 
-  private _ended(req: Request, tries: number, root: string, ok: boolean): void {
+  private _onTryDone(req: RootRequest, tries: number, root: string, ok: boolean): void {
     const { time, random } = this._world;
     if (ok) {
-      req.answeredAt = time.now;
-      req.firstTry = tries === 0;
+      req.completedAt = time.now;
+      req.succeededFirstTry = tries === 0;
       return;
     }
     this.failedTries.add(root);
     if (tries < kCallerRetries) {
-      time.after(kCallerPauseMs + random() * kCallerJitterMs, () => {
+      time.schedule(kCallerBackoffMs + random() * kCallerJitterMs, () => {
         this._try(req, tries + 1);
       });
     }
   }
 
-  private _measures(ideal: Map<string, number>): Measures {
+  private _computeMeasures(ideal: Map<string, number>): Measures {
     const { triggerMs, deployment } = this._scenario;
-    const end = kTriggerAt + triggerMs;
-    const during = this.requests.filter(({ at }) => at >= kTriggerAt && at < end);
+    const end = kTriggerAtMs + triggerMs;
+    const during = this.requests.filter(({ arrivedAt }) => arrivedAt >= kTriggerAtMs && arrivedAt < end);
     const answered = this.requests.filter(
-      ({ answeredAt }) => answeredAt !== undefined && answeredAt >= kTriggerAt && answeredAt < end,
+      ({ completedAt }) => completedAt !== undefined && completedAt >= kTriggerAtMs && completedAt < end,
     ).length;
     const idealTotal = [...ideal.values()].reduce((sum, rate) => sum + rate, 0) * (triggerMs / 1_000);
     const top = deployment.loads.find(({ importance }) => importance === 'critical') ?? deployment.loads[0];
     const ofTop = during.filter(({ load }) => load === top);
-    const topAnswered = ofTop.filter(({ answeredAt }) => answeredAt !== undefined).length;
+    const topAnswered = ofTop.filter(({ completedAt }) => completedAt !== undefined).length;
     const topIdeal = Math.min(ofTop.length, ((ideal.get(top?.name ?? '') ?? 0) * triggerMs) / 1_000);
     const { firstOffers, repeats, startsByTry } = this._world.counters;
     const starts = [...startsByTry.values()].reduce((sum, count) => sum + count, 0);
@@ -172,13 +172,13 @@
   }
 
   private _recoveryMs(): number {
-    const end = kTriggerAt + this._scenario.triggerMs;
-    const lastStart = end + kAfterMs - kDeadlineMs - kWindowMs;
+    const end = kTriggerAtMs + this._scenario.triggerMs;
+    const lastStart = end + kRecoveryObservationMs - kDeadlineMs - kWindowMs;
     let recovered = 0;
     for (let from = end; from <= lastStart; from += kWindowMs) {
-      const window = this.requests.filter(({ at }) => at >= from && at < from + kWindowMs);
-      const good = window.filter((req) => req.firstTry).length;
-      if (good < window.length * kRecovered) {
+      const window = this.requests.filter(({ arrivedAt }) => arrivedAt >= from && arrivedAt < from + kWindowMs);
+      const good = window.filter((req) => req.succeededFirstTry).length;
+      if (good < window.length * kRecoveredRatio) {
         recovered = from + kWindowMs - end;
       }
     }
@@ -188,7 +188,7 @@
 
 /** Runs one scenario against one policy. */
 export function runScenario(scenario: Scenario, policy: PolicyName, seed: number): Measures {
-  return new Run(scenario, policy, seed).measure();
+  return new Run(scenario, policy, seed).run();
 }
 
 function makePolicy(name: PolicyName, world: World): Policy {
--- a/bench/policy/scenarios.ts
+++ b/bench/policy/scenarios.ts
@@ -5,20 +5,20 @@
 
 /** What goes wrong, when, and for how long. */
 
-import { type Deployment, kDeepChain, kShelters, kTengerline, narrowService } from './deployment.js';
+import { type Deployment, kDeepChain, kShelters, kTengerline, bottleneckService } from './deployment.js';
 import type { Host, World } from './world.js';
 
 /** Times of a run, in milliseconds: quiet, then the trigger, then quiet again. */
-export const kTriggerAt = 6_000;
+export const kTriggerAtMs = 6_000;
 const kTriggerMs = 20_000;
 const kOutageMs = 5_000;
 /** Quiet time after the trigger in which recovery is looked for. */
-export const kAfterMs = 12_000;
+export const kRecoveryObservationMs = 12_000;
 
 /** A change of the world that a policy may have to be told of. */
-export interface Changes {
-  hostChanged: (host: Host) => void;
-  zoneChanged: () => void;
+export interface ChangeListener {
+  onHostChanged: (host: Host) => void;
+  onZonesChanged: () => void;
 }
 
 /** One scenario. */
@@ -28,138 +28,138 @@
   /** Length of the trigger, in milliseconds. */
   triggerMs: number;
   /** Factor on the offered load during the trigger. */
-  surge: number;
-  begin?: (world: World, changes: Changes) => void;
-  end?: (world: World, changes: Changes) => void;
+  loadFactor: number;
+  applyFault?: (world: World, listener: ChangeListener) => void;
+  clearFault?: (world: World, listener: ChangeListener) => void;
   /** Whether the capacity during the trigger is less than the world's, for the ideal: work factor by host. */
   workFactor?: (host: Host) => number;
 }
 
-function die(world: World, host: Host | undefined, changes: Changes): void {
+function crashHost(world: World, host: Host | undefined, listener: ChangeListener): void {
   if (host) {
-    host.dead = true;
-    host.target.die();
-    changes.hostChanged(host);
+    host.crashed = true;
+    host.target.crash();
+    listener.onHostChanged(host);
   }
 }
 
-function revive(hosts: Host[], changes: Changes, cold: boolean): void {
+function restartHosts(hosts: Host[], listener: ChangeListener, cold: boolean): void {
   for (const host of hosts) {
-    if (host.dead) {
-      host.dead = false;
-      host.target.dead = false;
+    if (host.crashed) {
+      host.crashed = false;
+      host.target.crashed = false;
       if (cold) {
         host.target.restart();
       }
-      changes.hostChanged(host);
+      listener.onHostChanged(host);
     }
   }
 }
 
 function scenariosOf(deployment: Deployment): Scenario[] {
-  const narrow = narrowService(deployment).name;
-  const base = { deployment, triggerMs: kTriggerMs, surge: 1 };
-  const slow = 10;
+  const bottleneck = bottleneckService(deployment).name;
+  const base = { deployment, triggerMs: kTriggerMs, loadFactor: 1 };
+  const slowFactor = 10;
   return [
-    { ...base, name: 'surge-1.5x', surge: 1.5 },
-    { ...base, name: 'surge-3x', surge: 3 },
-    { ...base, name: 'surge-10x', surge: 10 },
+    { ...base, name: 'surge-1.5x', loadFactor: 1.5 },
+    { ...base, name: 'surge-3x', loadFactor: 3 },
+    { ...base, name: 'surge-10x', loadFactor: 10 },
     {
       ...base,
       name: 'deep-slow-10x',
-      begin: (world) => {
-        for (const host of world.hostsOf(narrow)) {
-          host.target.slowFactor = slow;
+      applyFault: (world) => {
+        for (const host of world.hostsOf(bottleneck)) {
+          host.target.slowFactor = slowFactor;
         }
       },
-      end: (world) => {
-        for (const host of world.hostsOf(narrow)) {
+      clearFault: (world) => {
+        for (const host of world.hostsOf(bottleneck)) {
           host.target.slowFactor = 1;
         }
       },
-      workFactor: (host) => (host.service === narrow ? slow : 1),
+      workFactor: (host) => (host.service === bottleneck ? slowFactor : 1),
     },
     {
       ...base,
       name: 'targets-die',
-      begin: (world, changes) => {
-        die(world, world.hostsOf(narrow)[0], changes);
-        world.time.after(kTriggerMs / 2, () => {
-          die(world, world.hostsOf(deployment.services[1]?.name ?? '')[0], changes);
+      applyFault: (world, listener) => {
+        crashHost(world, world.hostsOf(bottleneck)[0], listener);
+        world.time.schedule(kTriggerMs / 2, () => {
+          crashHost(world, world.hostsOf(deployment.services[1]?.name ?? '')[0], listener);
         });
       },
-      end: (world, changes) => {
-        revive(world.hosts, changes, false);
+      clearFault: (world, listener) => {
+        restartHosts(world.hosts, listener, false);
       },
     },
     {
       ...base,
       name: 'cold-half',
-      begin: (world, changes) => {
+      applyFault: (world, listener) => {
         const half = world.hosts.filter((_, i) => i % 2 === 0);
         for (const host of half) {
-          die(world, host, changes);
+          crashHost(world, host, listener);
         }
-        revive(half, changes, true);
+        restartHosts(half, listener, true);
       },
     },
     {
       ...base,
       name: 'lying-loads',
-      surge: 1.5,
-      begin: (world) => {
+      loadFactor: 1.5,
+      applyFault: (world) => {
         world.hosts.forEach((host, i) => {
-          const lies = [() => 0, () => 1, (truth: number) => 1 - truth, (truth: number) => truth * 10];
-          host.target.lie = lies[i % lies.length];
+          const overrides = [() => 0, () => 1, (actualLoad: number) => 1 - actualLoad, (actualLoad: number) => actualLoad * 10];
+          host.target.reportedLoadOverride = overrides[i % overrides.length];
         });
       },
-      end: (world) => {
+      clearFault: (world) => {
         for (const host of world.hosts) {
-          host.target.lie = undefined;
+          host.target.reportedLoadOverride = undefined;
         }
       },
     },
     {
       ...base,
       name: 'zone-cut',
-      begin: (world, changes) => {
-        world.cut(deployment.zones[0] ?? '', true);
-        changes.zoneChanged();
+      applyFault: (world, listener) => {
+        world.setZoneIsolated(deployment.zones[0] ?? '', true);
+        listener.onZonesChanged();
       },
-      end: (world, changes) => {
-        world.cut(deployment.zones[0] ?? '', false);
-        changes.zoneChanged();
+      clearFault: (world, listener) => {
+        world.setZoneIsolated(deployment.zones[0] ?? '', false);
+        listener.onZonesChanged();
       },
     },
     {
       ...base,
       name: 'outage-5s',
       triggerMs: kOutageMs,
-      begin: (world, changes) => {
-        for (const host of world.hostsOf(narrow)) {
-          die(world, host, changes);
+      applyFault: (world, listener) => {
+        for (const host of world.hostsOf(bottleneck)) {
+          crashHost(world, host, listener);
         }
       },
-      end: (world, changes) => {
-        revive(world.hosts, changes, false);
+      clearFault: (world, listener) => {
+        restartHosts(world.hosts, listener, false);
       },
     },
   ];
 }
 
-const kHopFailures = 0.02;
+const kHopFailureRate = 0.02;
 
 const kDeepFailures: Scenario = {
   name: 'deep-28-2pct',
   deployment: kDeepChain,
   triggerMs: kTriggerMs,
-  surge: 1,
-  begin: (world) => {
+  loadFactor: 1,
+  applyFault: (world) => {
     for (const host of world.hosts) {
-      host.target.failureRate = kHopFailures;
+      host.target.failureRate = kHopFailureRate;
     }
   },
-  end: (world) => {
+  clearFault: (world) => {
     for (const host of world.hosts) {
       host.target.failureRate = 0;
     }
--- a/bench/policy/virtualTime.ts
+++ b/bench/policy/virtualTime.ts
@@ -10,7 +10,7 @@
 /** A scheduled event; `cancel` keeps it from happening. */
 export interface Scheduled {
   at: number;
-  order: number;
+  sequence: number;
   run: (() => void) | undefined;
 }
 
@@ -18,7 +18,7 @@
 export class VirtualTime {
   private readonly _heap: Scheduled[] = [];
   private readonly _clock: Clock;
-  private _order = 0;
+  private _nextSequence = 0;
   private _now = 0;
 
   constructor() {
@@ -31,10 +31,10 @@
   }
 
   /** Schedules an event. */
-  after(ms: number, run: () => void): Scheduled {
-    const event: Scheduled = { at: this._now + Math.max(0, ms), order: this._order++, run };
+  schedule(ms: number, run: () => void): Scheduled {
+    const event: Scheduled = { at: this._now + Math.max(0, ms), sequence: this._nextSequence++, run };
     this._heap.push(event);
-    this._rise(this._heap.length - 1);
+    this._siftUp(this._heap.length - 1);
     return event;
   }
 
@@ -46,7 +46,7 @@
   /** Runs all events up to a time. */
   runUntil(end: number): void {
     for (let event = this._heap[0]; event && event.at <= end; event = this._heap[0]) {
-      this._takeFirst();
+      this._removeFirst();
       if (event.run) {
         this._advance(event.at);
         event.run();
@@ -68,18 +68,18 @@
     }
   }
 
-  private _takeFirst(): void {
+  private _removeFirst(): void {
     const last = this._heap.pop();
     if (last && this._heap.length > 0) {
       this._heap[0] = last;
-      this._sink(0);
+      this._siftDown(0);
     }
   }
 
-  private _rise(start: number): void {
+  private _siftUp(start: number): void {
     for (let i = start; i > 0;) {
       const parent = (i - 1) >> 1;
-      if (this._before(parent, i)) {
+      if (this._isBefore(parent, i)) {
         return;
       }
       this._swap(i, parent);
@@ -87,14 +87,14 @@
     }
   }
 
-  private _sink(start: number): void {
+  private _siftDown(start: number): void {
     for (let i = start; ;) {
       const left = 2 * i + 1;
       if (left >= this._heap.length) {
         return;
       }
-      const child = left + 1 < this._heap.length && this._before(left + 1, left) ? left + 1 : left;
-      if (this._before(i, child)) {
+      const child = left + 1 < this._heap.length && this._isBefore(left + 1, left) ? left + 1 : left;
+      if (this._isBefore(i, child)) {
         return;
       }
       this._swap(i, child);
@@ -102,10 +102,10 @@
     }
   }
 
-  private _before(i: number, j: number): boolean {
+  private _isBefore(i: number, j: number): boolean {
     const a = this._heap[i];
     const b = this._heap[j];
-    return a !== undefined && b !== undefined && (a.at < b.at || (a.at === b.at && a.order < b.order));
+    return a !== undefined && b !== undefined && (a.at < b.at || (a.at === b.at && a.sequence < b.sequence));
   }
 
   private _swap(i: number, j: number): void {
--- a/bench/policy/world.ts
+++ b/bench/policy/world.ts
@@ -6,7 +6,7 @@
 /** Hosts, targets and the network of one deployment in virtual time; shared by all policies. */
 
 import { type Random, seededRandom } from '@gentiandrum/core';
-import { type Deployment, kNearMs, type LoadPlan } from './deployment.js';
+import { type Deployment, kIntraZoneDelayMs, type LoadPlan } from './deployment.js';
 import { FakeTarget } from './fakeTarget.js';
 import { VirtualTime } from './virtualTime.js';
 
@@ -18,7 +18,7 @@
   service: string;
   slots: number;
   target: FakeTarget;
-  dead: boolean;
+  crashed: boolean;
 }
 
 /** A root request, or one of its calls: `step` counts the calls made so far. */
@@ -48,7 +48,7 @@
   readonly counters: Counters = { firstOffers: 0, repeats: 0, startsByTry: new Map() };
   private readonly _byName = new Map<string, Host>();
   private readonly _byService = new Map<string, Host[]>();
-  private readonly _cutZones = new Set<string>();
+  private readonly _isolatedZones = new Set<string>();
 
   constructor(
     readonly deployment: Deployment,
@@ -60,7 +60,7 @@
         const zone = deployment.zones[(i + this.hosts.length) % deployment.zones.length] ?? '';
         const target = new FakeTarget(this.time, this.random, plan.slots, plan.workMs);
         const { name: service, slots } = plan;
-        const host = { index: this.hosts.length, name: `${service}-${i + 1}`, zone, service, slots, target, dead: false };
+        const host = { index: this.hosts.length, name: `${service}-${i + 1}`, zone, service, slots, target, crashed: false };
         this.hosts.push(host);
         this._byName.set(host.name, host);
         this._byService.set(service, [...this.hostsOf(service), host]);
@@ -79,24 +79,24 @@
   }
 
   /** One-way network time between two hosts; undefined when they are cut off from each other. */
-  delay(from: Host, to: Host): number | undefined {
+  delayMs(from: Host, to: Host): number | undefined {
     if (from.zone === to.zone) {
-      return kNearMs;
+      return kIntraZoneDelayMs;
     }
-    return this._cutZones.has(from.zone) || this._cutZones.has(to.zone) ? undefined : this.deployment.zoneMs;
+    return this._isolatedZones.has(from.zone) || this._isolatedZones.has(to.zone) ? undefined : this.deployment.interZoneDelayMs;
   }
 
   /** Cuts a zone off from the others, or heals it. */
-  cut(zone: string, cut: boolean): void {
-    if (cut) {
-      this._cutZones.add(zone);
+  setZoneIsolated(zone: string, isolated: boolean): void {
+    if (isolated) {
+      this._isolatedZones.add(zone);
     } else {
-      this._cutZones.delete(zone);
+      this._isolatedZones.delete(zone);
     }
   }
 
   /** Notes work that a target started for a try of a root request. */
-  started(root: string): void {
+  recordStart(root: string): void {
     const { startsByTry } = this.counters;
     startsByTry.set(root, (startsByTry.get(root) ?? 0) + 1);
   }
