--- a/bench/support/openLoop.ts
+++ b/bench/support/openLoop.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Open-loop load: calls start on schedule, however long earlier ones take. */
+/** Open-loop load generator: calls start on schedule, however long earlier calls take. */
 
 import { build, type Histogram } from 'hdr-histogram-js';
 
@@ -17,7 +17,7 @@
   p99: number;
 }
 
-/** Several loads interleaved in one run, so that all meet the same noise. */
+/** Runs several loads interleaved, so that all are subject to the same noise. A call fails when it rejects or resolves to false. */
 export async function runInterleaved(
   loads: Record<string, () => Promise<boolean>>,
   perSecond: number,
