--- a/bench/arrival/main.ts
+++ b/bench/arrival/main.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Processor time that one call costs its two daemons, the one where it enters and the one beside its target: both run as the
- * processes that the platform starts. `--profile DIR` keeps a profile of each.
+ * Measures the CPU time per call of the two daemons on its path: the entry daemon and the daemon on the target's host. Both run
+ * the bundled program with the flags of the deploy file. `--profile DIR` writes a CPU profile of each.
  */
 
 import { type ChildProcess, spawn, spawnSync } from 'node:child_process';
@@ -19,17 +19,17 @@
 import { runInterleaved } from '../support/openLoop.js';
 
 const kRoot = fileURLToPath(new URL('../../..', import.meta.url));
-/** Calls a second, as many as one busy daemon sees on the users' days. */
+/** Load of a busy daemon. */
 const kCallsPerSecond = 400;
 const kWarmupSeconds = 4;
 const kRoundSeconds = 6;
 const kRounds = 3;
-/** Calls of a process that has just started, and how fast they come: what a daemon in a fleet of hundreds sees. */
+/** Load on a daemon that has just started, as in a fleet of hundreds. */
 const kColdCalls = 500;
 const kColdCallsPerSecond = 50;
-/** Ticks of the processor clock in one second, as Linux counts them for processes. */
+/** Unit of the CPU times in `/proc/PID/stat` on Linux. */
 const kCpuTicksPerSecond = 100;
-/** Flags of the runtime to try, in place of those of the deploy file. */
+/** Node.js flags: `ARRIVAL_NODE_FLAGS`, or else those of the deploy file. */
 const kNodeFlags = process.env.ARRIVAL_NODE_FLAGS?.split(' ') ?? deployedArguments(kRoot).slice(0, -1);
 const kProfileArgIndex = process.argv.indexOf('--profile');
 const kProfileDir = kProfileArgIndex < 0 ? undefined : process.argv[kProfileArgIndex + 1];
@@ -58,7 +58,7 @@
   return (Number(fields[11]) + Number(fields[12])) / kCpuTicksPerSecond;
 }
 
-/** Most memory that a process held so far, in MB. */
+/** Peak resident memory of a process, in MB. */
 function peakRssMb(child: ChildProcess): number {
   const text = readFileSync(`/proc/${child.pid ?? 0}/status`, 'utf8');
   return Math.round(Number(/VmHWM:\s+(\d+)/.exec(text)?.[1] ?? 0) / 1_024);
