--- a/bench/bodies/main.ts
+++ b/bench/bodies/main.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * A hundred thousand calls with mixed bodies, through real daemons: none may be lost or crossed, and every body must come
- * back equal by its hash. Bodies go from nothing to 1 MB, with a length or in chunks; targets answer late and out of order.
+ * Sends calls with bodies of up to 1 MB, with a content length or chunked, through real daemons to echo targets with different
+ * delays. Counts lost and refused calls, and responses whose digest differs from that of the request body.
  */
 
 import { createHash } from 'node:crypto';
@@ -20,7 +20,7 @@
 const kSeed = 5;
 const kMaxBodyBytes = 1_048_576;
 const kChunks = 4;
-/** Every so many-th call takes a body of up to the largest size; the others are small. */
+/** One call in this many has a body of up to the largest size; the others are small. */
 const kLargeBodyInterval = 100;
 
 interface Counts {
@@ -33,7 +33,7 @@
 const random = seededRandom(kSeed);
 const randomFill = Buffer.from(Array.from({ length: kMaxBodyBytes }, () => Math.floor(random() * 256)));
 
-/** Body of a call: its number, then noise. */
+/** Body of a call: its number, then random bytes; some bodies are empty. */
 function makeBody(i: number): Buffer {
   const size = i % 50 === 0 ? 0 : Math.floor(random() ** 3 * (i % kLargeBodyInterval === 1 ? kMaxBodyBytes : 4_096));
   return size === 0 ? Buffer.alloc(0) : Buffer.concat([Buffer.from(`${i}:`), randomFill.subarray(0, size)]);
