--- a/bench/choice/main.ts
+++ b/bench/choice/main.ts
@@ -3,12 +3,12 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Time to choose a target, and to look up the level of a route, by the number of targets of the service; no network. */
+/** Measures the time to choose a target and to look up the level of a route, by the number of targets; uses no network. */
 
 import { ChainModel, monotonicMs, Placement, seededRandom, type TargetRecord } from '@gentiandrum/core';
 
 const kTargetCounts = [10, 100, 500];
-/** Choices of a daemon that has just started, and of a warm one. */
+/** Runs per measurement, just after the start and warmed up. */
 const kColdChoices = 200;
 const kWarmChoices = 50_000;
 const kZones = 5;
@@ -31,7 +31,7 @@
   }));
 }
 
-/** Mean time of one run, in microseconds. */
+/** Mean duration of one run, in microseconds. */
 function meanUs(runs: number, run: () => void): number {
   const startedAt = monotonicMs();
   for (let i = 0; i < runs; i++) {
