--- a/bench/control/fit.ts
+++ b/bench/control/fit.ts
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Least-squares lines through measurements, with the error of the slope. */
+/** Least-squares linear regression. */
 
-/** A line through measurements. */
+/** A fitted line. */
 export interface LinearFit {
   slope: number;
   intercept: number;
@@ -13,7 +13,7 @@
   slopeError: number;
 }
 
-/** Fits a line. */
+/** Fits a line to points by least squares. */
 export function fitLine(points: readonly [x: number, y: number][]): LinearFit {
   const n = points.length;
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / n;
--- a/bench/control/main.ts
+++ b/bench/control/main.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * What control costs a daemon: processor time, memory, bytes and appends, against members, configuration changes, claims
- * and calls. Real daemon processes on the loopback; their host names spread over seven zones in two regions.
+ * Measures the control overhead of a daemon (CPU time, memory, control bytes, log appends and reads) by the number of members, and
+ * by the rates of configuration changes, claims and calls. Runs real daemon processes on the loopback, in seven zones and two regions.
  */
 
 import { readFileSync } from 'node:fs';
@@ -34,7 +34,7 @@
   control: { bytes: number; appends: number; reads: number; uptimeMs: number };
 }
 
-/** Means over the daemons of one measurement. */
+/** One measurement, as means over the daemons. */
 interface Measurement {
   cpuShare: number;
   bytesPerSecond: number;
@@ -42,7 +42,7 @@
   readsPerSecond: number;
   rssMb: number;
   heapMb: number;
-  /** Memory that the process does not share with others, such as its program. */
+  /** Anonymous resident memory, which excludes mapped files such as the program. */
   ownMb: number;
 }
 
@@ -95,7 +95,7 @@
   };
 }
 
-/** Anonymous memory of the daemons, from the kernel's own count. */
+/** Mean anonymous resident memory of the daemons, in MB, as the kernel reports it. */
 function meanAnonymousMb(fleet: Fleet): number {
   const sizes = [...fleet.hosts.values()].map(({ daemon }) => {
     const text = readFileSync(`/proc/${daemon.pid ?? 0}/status`, 'utf8');
@@ -110,7 +110,7 @@
     const fleet = await startFleet(size);
     try {
       points.push([size, await measure(fleet)]);
-      printMeasurement(`${size} members, at rest`, points.at(-1)?.[1]);
+      printMeasurement(`${size} members, idle`, points.at(-1)?.[1]);
     } finally {
       fleet.stop();
     }
@@ -118,7 +118,7 @@
   return points;
 }
 
-/** A few real daemons in a crowd of 490 members, at rest and with records changing. */
+/** Measures a few real daemons among simulated members, at several rates of record changes. */
 async function measureAtFullSize(): Promise<[number, Measurement][]> {
   const points: [number, Measurement][] = [];
   const simulatedMembers = new SimulatedMembers(kFullMemberCount - kSmallFleetSize);
@@ -213,7 +213,7 @@
       `own ${ownMb.toFixed(1)} MB`,
       `heap ${heapMb.toFixed(1)} MB`,
     ];
-    console.log(`${what}: a daemon spends ${[...text, ...more].join(', ')}`);
+    console.log(`${what}: a daemon uses ${[...text, ...more].join(', ')}`);
   }
 }
 
@@ -233,7 +233,7 @@
   };
 }
 
-/** Parts that the command line names; all when it names none. */
+/** Parts that the command line selects; all when it names none. */
 const kParts = ['members', 'load', 'crowd'] as const;
 const selectedParts = kParts.filter((part) => process.argv.length < 3 || process.argv.includes(part));
 const result: Record<string, unknown> = {};
--- a/bench/control/simulatedMembers.ts
+++ b/bench/control/simulatedMembers.ts
@@ -3,10 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * A crowd of members that do nothing but take part in membership: they answer pings, ping the real daemons as often as so
- * many members would, and change their records at a given rate. So a daemon's control cost is measured at full size.
- */
+/** Simulated members that load real daemons with the membership traffic of a full-size deployment. */
 
 import type { AddressInfo } from 'node:net';
 import { clone, create } from '@bufbuild/protobuf';
@@ -21,7 +18,7 @@
 const kPingIntervalMs = 1_000;
 const kSlots = 100;
 
-/** The crowd. */
+/** Members that share one listener: it responds to pings, pings the daemons, and changes member records at a given rate. */
 export class SimulatedMembers {
   private readonly _members: Member[] = [];
   private readonly _app = fastify();
@@ -30,7 +27,7 @@
 
   constructor(private readonly _size: number) {}
 
-  /** Listens; gives the address at which daemons that start learn of the whole crowd. */
+  /** Listens; resolves to the seed address from which daemons fetch all simulated members. */
   async listen(): Promise<string> {
     const routes = (router: ConnectRouter): void => {
       router.service(PeerService, {
@@ -47,7 +44,7 @@
     return `127.0.0.1:${port}`;
   }
 
-  /** Begins to ping each daemon once a period; each ping carries `changes` changed records. */
+  /** Pings each daemon at a fixed interval; each ping carries `changes` changed records. */
   startPinging(daemons: string[], changes: number): void {
     for (const address of daemons) {
       const client = createClient(
@@ -62,14 +59,13 @@
     }
   }
 
-  /** Stops pinging. */
   stopPinging(): void {
     this._timers.splice(0).forEach((timer) => {
       clearInterval(timer);
     });
   }
 
-  /** Leaves. */
+  /** Stops pinging and listening. */
   async close(): Promise<void> {
     this.stopPinging();
     await this._app.close();
