--- a/bench/hop/hopServer.ts
+++ b/bench/hop/hopServer.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** A process that answers 1 KB over connect (HTTP/1.1 and HTTP/2) and over plain fastify, for comparing the ways of a hop. */
+/** Server process that responds with 1 KB over connect (HTTP/1.1 and HTTP/2) and over fastify, for comparing transports of one hop. */
 
 import { createServer } from 'node:http2';
 import type { AddressInfo } from 'node:net';
--- a/bench/hop/main.ts
+++ b/bench/hop/main.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Latency that the layer adds to a call at 300 calls/s per daemon, against the direct call in the same run. */
+/** Measures the latency that the layer adds to a call, against direct calls in the same run. */
 
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
@@ -100,10 +100,10 @@
 }
 
 const transports = await compareTransports();
-console.log(`one hop, ${kCallsPerSecond} calls/s each, 256 B up, 1 KB down, separate processes`);
+console.log(`one hop, ${kCallsPerSecond} calls/s each, 256 B requests, 1 KB responses, separate processes`);
 console.table(transports);
 const rounds = await measureLayer();
-console.log(`caller to target by two daemons against the direct call, ${kCallsPerSecond} calls/s, ${kRounds} rounds of ${kRoundSeconds} s`);
+console.log(`calls through two daemons against direct calls, ${kCallsPerSecond} calls/s, ${kRounds} rounds of ${kRoundSeconds} s`);
 console.table(
   rounds.map(({ direct, layer }) => ({
     direct_p50: direct.p50,
--- a/bench/hop/oneLoop.ts
+++ b/bench/hop/oneLoop.ts
@@ -4,8 +4,9 @@
  */
 
 /**
- * The same path with caller, two daemons and target on one loop: no wake-ups between processes, so what is left is the
- * work of the layer itself. Log lines go to standard output as in a daemon; send them to a file.
+ * Measures the added latency with the caller, two daemons and the target in one event loop, which excludes wake-ups between
+ * processes. Daemon logs go to standard output and results to standard error; redirect standard output to a file.
+ * Arguments: seconds per round, log level.
  */
 
 import { configSchema, settingsSchema } from '@gentiandrum/protocol';
