--- a/bench/matrix/main.ts
+++ b/bench/matrix/main.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Runs the whole fault matrix, with every pair, and prints it. */
+/** Runs the full fault matrix, with all pairs of faults, and prints the results. Exits with 1 on a violation or a gap in coverage. */
 
 import { uncoveredFaults, runMatrix } from '../../tests/matrix/runMatrix.js';
 import { kScenarios } from '../../tests/matrix/scenarios.js';
@@ -18,10 +18,10 @@
   console.log(violation);
 });
 uncovered.forEach((row) => {
-  console.log(`no cell: ${row}`);
+  console.log(`not covered: ${row}`);
 });
 report.notInjected.slice(0, kMaxShown).forEach((step) => {
-  console.log(`missed: ${step}`);
+  console.log(`not injected: ${step}`);
 });
 console.log(JSON.stringify({ cells: report.cells, violations: report.violations.length, pairs: report.pairs }));
 process.exit(report.violations.length + uncovered.length + report.notInjected.length === 0 ? 0 : 1);
