--- a/bench/policy/baselinePolicies.ts
+++ b/bench/policy/baselinePolicies.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The usual ways: naive retries at every hop, and a static limit with a queue and a retry budget per hop. */
+/** Baseline policies: naive retries at every hop, and static concurrency limits with queues and per-hop retry budgets. */
 
 import type { Cancel } from './fakeTarget.js';
 import type { CallResult, Policy } from './policy.js';
@@ -15,13 +15,13 @@
 const kBudgetRetries = 2;
 const kRetryBudgetRatio = 0.1;
 const kRetryBudgetBurst = 10;
-/** Calls that may wait at a static gate, per slot. */
+/** Queue capacity of a static gate, in calls per slot. */
 const kQueuePerSlot = 2;
 
-/** One attempt: sends a call to a host, and learns how it went. */
+/** Sends one attempt of a call to a host; `done` reports whether it succeeded. */
 type SendAttempt = (from: Host, to: Host, call: ChainCall, done: (ok: boolean) => void) => Cancel;
 
-/** No control: three retries at every hop, at once; targets queue without bound, and nothing is cancelled. */
+/** No overload control: up to three immediate retries at every hop, unbounded queues at the targets, and no cancellation. */
 export class NaivePolicy implements Policy {
   readonly name = 'naive';
 
@@ -51,7 +51,7 @@
   }
 }
 
-/** A static limit of the announced slots, first in first out, two retries a hop within a budget, least reported load. */
+/** Static concurrency limits with FIFO queues, up to two retries per hop within a budget, and the less loaded of two random targets. */
 export class StaticPolicy implements Policy {
   readonly name = 'static';
   private readonly _gates: StaticGate[];
@@ -89,13 +89,13 @@
     return tokens >= 1;
   }
 
-  /** The less loaded of two random targets, by their own reports. */
+  /** Returns the less loaded of two random targets, by reported load. */
   private _choose(service: string): Host {
     const hosts = this._world.hostsOf(service);
     const draw = (): Host | undefined => hosts[Math.floor(this._world.random() * hosts.length)];
     const [a, b] = [draw(), draw()];
     if (!a || !b) {
-      throw new Error(`expected targets of ${service}`);
+      throw new Error(`expected targets of service ${service}, got none`);
     }
     return a.target.reportedLoad <= b.target.reportedLoad ? a : b;
   }
@@ -150,14 +150,14 @@
   closed: boolean;
 }
 
-/** A fixed number of calls at once, and a bounded queue. */
+/** Limits concurrent calls to a fixed number, with a bounded queue. */
 class StaticGate {
   private _running = 0;
   private readonly _queue: GateEntry[] = [];
 
   constructor(private readonly _slots: number) {}
 
-  /** Starts a call when there is room; `refused` is called when there is none to wait in either. */
+  /** Starts a call when a slot is free, queues it otherwise, and calls `onRefused` when the queue is full. */
   enter(start: (release: () => void) => Cancel, onRefused: () => void): Cancel {
     const waiting: GateEntry = { start, cancel: undefined, closed: false };
     if (this._running < this._slots) {
@@ -199,7 +199,7 @@
   }
 }
 
-/** Sends a call to a target over the network, without any gate. */
+/** Sends a call to a target over the network, without a gate. */
 function sendDirect(world: World, policy: Policy, from: Host, to: Host, call: ChainCall, done: (ok: boolean) => void): Cancel {
   const delayMs = from === to ? 0 : world.delayMs(from, to);
   let ended = false;
--- a/bench/policy/deployment.ts
+++ b/bench/policy/deployment.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The users' deployments at the brief's sizes, and the load that the bench puts on them. */
+/** Deployments that the comparison simulates, and the load on them. */
 
 import type { Importance } from '@gentiandrum/protocol';
 
@@ -12,21 +12,22 @@
   name: string;
   targets: number;
   slots: number;
-  /** Mean time of a call at the target without its onward call, in milliseconds. */
+  /** Mean work time of a call at the target, without its downstream call, in milliseconds. */
   workMs: number;
 }
 
-/** A kind of root requests. */
+/** A stream of root requests of one class. */
 export interface LoadPlan {
   name: string;
   importance: Importance;
   idempotent: boolean;
-  /** Services along the chain. */
+  /** Services along the call chain, from the first call to the last. */
   chain: string[];
+  /** Root requests per second at a load factor of 1. */
   perSecond: number;
 }
 
-/** A deployment and its load. */
+/** A deployment and its load; `interZoneDelayMs` is the one-way network delay between zones. */
 export interface Deployment {
   name: string;
   zones: string[];
@@ -35,16 +36,16 @@
   loads: LoadPlan[];
 }
 
-/** Retries that a request of an idempotent class may spend over its chain. */
+/** Retries allowed for a request of an idempotent class over its whole chain. */
 export const kRetryAllowance = 3;
-/** Time for one try of a root request, in milliseconds. */
+/** Deadline of one try of a root request. */
 export const kDeadlineMs = 2_000;
-/** Network time within a zone, one way, in milliseconds. */
+/** One-way network delay within a zone. */
 export const kIntraZoneDelayMs = 0.2;
-/** Network time between caller and daemon, one way, in milliseconds. */
+/** One-way network delay between a client and its daemon. */
 export const kClientDelayMs = 1;
 
-/** Tengerline: three zones; hazards is the narrow service at the end of every chain. */
+/** Three zones; `hazards` is the bottleneck at the end of every chain. */
 export const kTengerline: Deployment = {
   name: 'tengerline',
   zones: ['bayanzurkh', 'khan-uul', 'songino'],
@@ -63,7 +64,7 @@
   ],
 };
 
-/** The shelter network: four zones; locuri is the narrow service. */
+/** Four zones; `locuri` is the bottleneck at the end of every chain. */
 export const kShelters: Deployment = {
   name: 'shelters',
   zones: ['hala-1', 'hala-2', 'hala-3', 'hala-4'],
@@ -84,7 +85,7 @@
 
 const kDeepChainLength = 28;
 
-/** A chain of 28 calls over 26 services, each with two targets. */
+/** A chain of 28 calls over 26 services with two targets each. */
 export const kDeepChain: Deployment = {
   name: 'deep',
   zones: ['one', 'two'],
@@ -101,7 +102,7 @@
   ],
 };
 
-/** Service with the fewest slots, at the end of the chains. */
+/** The service with the fewest slots. */
 export function bottleneckService(deployment: Deployment): ServicePlan {
   return deployment.services.reduce((a, b) => (b.targets * b.slots <= a.targets * a.slots ? b : a));
 }
--- a/bench/policy/fakeTarget.ts
+++ b/bench/policy/fakeTarget.ts
@@ -3,21 +3,21 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** A target in virtual time: slots, a queue without bound of its own, work, and one onward call. */
+/** Simulates a target in virtual time, with slots and an unbounded queue. A call works for a time and makes at most one downstream call. */
 
 import type { Random } from '@gentiandrum/core';
 import type { Scheduled, VirtualTime } from './virtualTime.js';
 
-/** Cancels what was begun. */
+/** Cancels the operation that returned it. */
 export type Cancel = () => void;
 
-/** A call as targets see it. */
+/** A call that a target serves. */
 export interface TargetCall {
-  /** Makes the onward call, if the chain goes on; calls back whether it went well. */
+  /** Makes the downstream call and reports whether it succeeded; undefined at the end of the chain. */
   onward: ((done: (ok: boolean) => void) => Cancel) | undefined;
-  /** Called when the work starts. */
+  /** Called when the call gets a slot. */
   onStarted: () => void;
-  /** Called once with the end, unless the call was cancelled. */
+  /** Called once with the result, unless the call is cancelled. */
   onDone: (result: 'ok' | 'failed' | 'dead') => void;
 }
 
@@ -31,12 +31,12 @@
 const kWarmupMs = 5_000;
 const kColdSlowdown = 3;
 
-/** A target. */
+/** A simulated target. */
 export class FakeTarget {
   crashed = false;
   slowFactor = 1;
   failureRate = 0;
-  /** What its load report says instead of the truth. */
+  /** Computes a false load to report from the actual load; undefined when the target reports the actual load. */
   reportedLoadOverride: ((actualLoad: number) => number) | undefined;
   private _running = 0;
   private readonly _queue: ActiveCall[] = [];
@@ -50,13 +50,13 @@
     private readonly _workMs: number,
   ) {}
 
-  /** Load that the target reports, in calls per slot. */
+  /** Reported load, in running and queued calls per slot. */
   get reportedLoad(): number {
     const actualLoad = (this._running + this._queue.length) / this._slots;
     return this.reportedLoadOverride ? this.reportedLoadOverride(actualLoad) : actualLoad;
   }
 
-  /** Dies: everything that it has is lost. */
+  /** Crashes; all running and queued calls are lost. */
   crash(): void {
     this.crashed = true;
     for (const work of [...this._active]) {
@@ -65,13 +65,13 @@
     }
   }
 
-  /** Is replaced by a cold one. */
+  /** Restarts cold: calls take longer until the warm-up has passed. */
   restart(): void {
     this.crashed = false;
     this._restartedAt = this._time.now;
   }
 
-  /** Takes a call. It accepts cancellation: the slot is free at once. */
+  /** Serves or queues a call. Cancelling the call releases its slot at once. */
   serve(call: TargetCall): Cancel {
     const work: ActiveCall = { call, phase: 'queued', timer: undefined, cancelOnward: undefined };
     this._active.add(work);
--- a/bench/policy/ideal.ts
+++ b/bench/policy/ideal.ts
@@ -4,11 +4,10 @@
  */
 
 /**
- * What the capacity allows: the whole requests a second that a perfect layer would serve during the trigger.
+ * Computes the ideal goodput: the root requests per second that the capacity allows during the trigger.
  *
- * Each target gives its slots, a second each. A call of a chain holds a slot for its own work and for all work and network
- * behind it. Demand is served in order of importance until a service on the chain is full. While a zone is cut off, each
- * side serves what enters there and finds all its services there.
+ * A call holds a slot for its own work and for all work and network delay downstream of it. Demand is served in order of importance
+ * until a service on the chain has no capacity left. While a zone is isolated, each partition serves its share of the requests alone.
  */
 
 import { importanceIndex } from '@gentiandrum/core';
@@ -18,7 +17,7 @@
 
 const kMsPerSecond = 1_000;
 
-/** Ideal whole requests a second by load. */
+/** Ideal rate of successful root requests by name of the load. */
 export function idealPerSecond(world: World, scenario: Scenario): Map<string, number> {
   const totals = new Map<string, number>();
   for (const partition of partitions(world)) {
@@ -62,7 +61,7 @@
   return partition.filter((host) => host.service === service && !host.crashed).reduce((sum, host) => sum + host.slots, 0);
 }
 
-/** Serves as much of a load as fits, and takes the slots that it holds. */
+/** Returns the rate at which a load can be served, and subtracts the slot time that it uses from `capacity`. */
 function allocate(load: LoadPlan, wanted: number, capacity: Map<string, number>, workOf: (service: string) => number): number {
   const slotMsByService = new Map<string, number>();
   let downstreamMs = 0;
--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** gentiandrum itself: the core's real objects and procedures, with their effects performed in virtual time. */
+/** The layer as a policy: the procedures and objects of the core, with effects performed in virtual time. */
 
 import {
   ResponseStore,
@@ -41,10 +41,10 @@
 import type { Scheduled } from './virtualTime.js';
 
 const kRetryRatio = 0.1;
-/** Time after which others stop sending to a dead host, and to one that they can't reach. */
+/** Time after which daemons exclude a crashed or unreachable host. */
 const kFailureDetectionMs = 3_000;
 const kResetDelayMs = 1;
-/** Time after which a suspected daemon is pinged again. */
+/** Interval of the pings to an unreachable daemon. */
 const kPingIntervalMs = 1_000;
 const kPayload = { method: 'GET', path: '/', headers: {}, body: new Uint8Array() };
 const kOkResponse = { status: 200, headers: {}, body: new Uint8Array() };
@@ -57,12 +57,12 @@
   serve: ServeContext;
   gateContext: GateContext;
   waiting: Map<string, (result: AdmissionResult) => void>;
-  /** Cancels what runs at the target, by attempt. */
+  /** Functions that cancel calls running at the target, by attempt. */
   running: Map<string, Cancel>;
   unreachable: Set<string>;
 }
 
-/** Makes one call wait for its events. */
+/** Queues the events of one call until its procedure awaits them. */
 class CallEventQueue {
   private readonly _events: CallEvent[] = [];
   private _resume: ((event: CallEvent) => void) | undefined;
@@ -97,7 +97,7 @@
   }
 }
 
-/** The layer as a policy. */
+/** Simulates one daemon of the layer per host. */
 export class LayerPolicy implements Policy {
   readonly name: string;
   private readonly _daemons: Daemon[];
@@ -146,7 +146,6 @@
     }
   }
 
-  /** A cut zone is noticed as dead hosts are. */
   onZonesChanged(): void {
     this._world.time.schedule(kFailureDetectionMs, () => {
       for (const daemon of this._daemons) {
@@ -157,7 +156,7 @@
     });
   }
 
-  /** A daemon that can't be connected to is left out until a ping finds it again. */
+  /** Excludes a daemon that refuses connections until a ping succeeds. */
   private _markUnreachable(unreachable: Set<string>, from: Host, target: string): void {
     unreachable.add(target);
     const ping = (): void => {
@@ -215,7 +214,7 @@
         this._forward(daemon, effect.attempt, effect.deadline, resume);
         return;
       default:
-        throw new Error(`expected an effect of a call without key, got "${effect.type}"`);
+        throw new Error(`expected an effect of a call without an idempotency key, got "${effect.type}"`);
     }
   }
 
--- a/bench/policy/main.ts
+++ b/bench/policy/main.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Compares overload policies: `main.js [SCENARIO-PART]`. Each run is a process of its own, as many at once as half the
- * cores; the same seed gives the same digits.
+ * Compares overload policies: `main.js [NAME-FILTER]` runs the scenarios whose name contains the filter. Each run is a separate
+ * process, with up to three quarters of the cores in use; the same seed gives the same results.
  */
 
 import { fork } from 'node:child_process';
@@ -15,7 +15,7 @@
 import { kScenarios } from './scenarios.js';
 
 const kSeed = 20_261_202;
-/** Longest time for one run; a policy that amplifies without bound is reported as not finished. */
+/** Time limit of one run; a policy whose retries grow without bound is reported as not finished. */
 const kJobLimitMs = 150_000;
 
 interface Job {
@@ -35,7 +35,7 @@
   await compare(wanted ?? '');
 }
 
-/** Runs a job in a process of its own; undefined when it takes too long. */
+/** Runs a job in a separate process; resolves to undefined when it exceeds the time limit. */
 function runJob(job: Job): Promise<Measures | undefined> {
   return new Promise((resolve, reject) => {
     const child = fork(fileURLToPath(import.meta.url), ['--job', JSON.stringify(job)]);
@@ -49,7 +49,7 @@
     child.once('exit', (code) => {
       clearTimeout(timer);
       if (code !== null && code !== 0) {
-        reject(new Error(`expected job ${JSON.stringify(job)} to end with 0, got ${code}`));
+        reject(new Error(`expected job ${JSON.stringify(job)} to exit with code 0, got ${code}`));
       }
     });
   });
--- a/bench/policy/policy.ts
+++ b/bench/policy/policy.ts
@@ -3,25 +3,25 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What the bench compares: ways to take a call from a host to a target of the next service. */
+/** Interface of the compared policies, which send a call from a host to a target of the next service. */
 
 import type { Cancel } from './fakeTarget.js';
 import type { ChainCall, Host } from './world.js';
 
-/** How a call ended. */
+/** Result of a call. */
 export interface CallResult {
   ok: boolean;
-  /** Whether the layer says when to come back. */
+  /** Whether the error says when to retry. */
   retryAfter: boolean;
 }
 
-/** One way. */
+/** An overload policy. */
 export interface Policy {
   readonly name: string;
-  /** Makes a call from a host; calls back once, unless it is cancelled. */
+  /** Makes a call from a host; calls `done` once, unless the call is cancelled. */
   call(from: Host, call: ChainCall, parent: string | undefined, done: (result: CallResult) => void): Cancel;
-  /** Told that a host died or came back; what the policy knows of it beforehand is its own matter. */
+  /** Called when a host crashes or restarts. */
   onHostChanged?(host: Host): void;
-  /** Told that zones were cut off or healed. */
+  /** Called when a zone is isolated or reconnected. */
   onZonesChanged?(): void;
 }
--- a/bench/policy/runScenario.ts
+++ b/bench/policy/runScenario.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Runs one scenario against one policy, and takes its measures. */
+/** Runs one scenario with one policy and computes its measures. */
 
 import { kCohorts } from '@gentiandrum/core';
 import { NaivePolicy, StaticPolicy } from './baselinePolicies.js';
@@ -14,24 +14,24 @@
 import { type ChangeListener, kRecoveryObservationMs, kTriggerAtMs, type Scenario } from './scenarios.js';
 import { type Host, World } from './world.js';
 
-/** Names of the policies, in the order of the table. */
+/** Names of the policies, in the order of the result table. */
 export const kPolicies = ['naive', 'static', 'gentiandrum-goodput', 'gentiandrum-recovery'] as const;
-/** One of the policies. */
+/** Name of a policy. */
 export type PolicyName = (typeof kPolicies)[number];
 
 /** Measures of one run. */
 export interface Measures {
-  /** Whole requests answered during the trigger, per what the capacity allows. */
+  /** Root requests that succeeded during the trigger, relative to the ideal or, if lower, to the requests offered. */
   goodput_ratio: number;
-  /** Time from the trigger's end until no window has less than 0.99 of its requests answered at the first try. */
+  /** Time from the end of the trigger to the end of the last window in which under 99 % of requests succeed at the first try. */
   recovery_s: number;
-  /** Offers of a call per first offer, without what callers repeat. */
+  /** Offers per call, without the retries of clients. */
   attempts_per_request: number;
-  /** Work started at targets for tries that failed, per all work started. */
+  /** Share of the calls started at targets that belong to failed tries. */
   wasted_ratio: number;
-  /** Critical requests answered during the trigger, per what the capacity allows of them. */
+  /** Successful critical requests of those offered during the trigger, relative to the ideal or, if lower, to the number offered. */
   top_class_ratio: number;
-  /** The same for whatever was offered of them. */
+  /** Successful critical requests of those offered during the trigger, relative to the number offered. */
   top_class_answered: number;
   offered: number;
 }
@@ -45,12 +45,12 @@
 interface RootRequest {
   load: LoadPlan;
   arrivedAt: number;
-  /** Time of the whole answer; undefined while there is none. */
+  /** Time of the successful response; undefined while there is none. */
   completedAt: number | undefined;
   succeededFirstTry: boolean;
 }
 
-/** One run. */
+/** One run of a scenario. */
 class Run {
   readonly requests: RootRequest[] = [];
   failedTries = new Set<string>();
@@ -111,7 +111,7 @@
     });
   }
 
-  /** Callers ask any living host, and ask again soon when they get no answer. */
+  /** Sends a request to a random running host; clients retry failed tries after a short, jittered delay. */
   private _try(req: RootRequest, tries: number): void {
     const { time, random, hosts } = this._world;
     const runningHosts = hosts.filter((host) => !host.crashed);
@@ -186,7 +186,7 @@
   }
 }
 
-/** Runs one scenario against one policy. */
+/** Runs one scenario with one policy. */
 export function runScenario(scenario: Scenario, policy: PolicyName, seed: number): Measures {
   return new Run(scenario, policy, seed).run();
 }
--- a/bench/policy/scenarios.ts
+++ b/bench/policy/scenarios.ts
@@ -3,35 +3,35 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What goes wrong, when, and for how long. */
+/** Fault and overload scenarios. */
 
 import { type Deployment, kDeepChain, kShelters, kTengerline, bottleneckService } from './deployment.js';
 import type { Host, World } from './world.js';
 
-/** Times of a run, in milliseconds: quiet, then the trigger, then quiet again. */
+/** Start of the trigger (the fault or surge); before and after it, the load is normal. */
 export const kTriggerAtMs = 6_000;
 const kTriggerMs = 20_000;
 const kOutageMs = 5_000;
-/** Quiet time after the trigger in which recovery is looked for. */
+/** Time after the trigger in which recovery is measured. */
 export const kRecoveryObservationMs = 12_000;
 
-/** A change of the world that a policy may have to be told of. */
+/** Receives the changes that a policy may observe. */
 export interface ChangeListener {
   onHostChanged: (host: Host) => void;
   onZonesChanged: () => void;
 }
 
-/** One scenario. */
+/** A scenario: a deployment, and the load and faults during the trigger. */
 export interface Scenario {
   name: string;
   deployment: Deployment;
   /** Length of the trigger, in milliseconds. */
   triggerMs: number;
-  /** Factor on the offered load during the trigger. */
+  /** Factor applied to the offered load during the trigger. */
   loadFactor: number;
   applyFault?: (world: World, listener: ChangeListener) => void;
   clearFault?: (world: World, listener: ChangeListener) => void;
-  /** Whether the capacity during the trigger is less than the world's, for the ideal: work factor by host. */
+  /** Factor on the work time of a host's calls during the trigger, for the ideal goodput; 1 when absent. */
   workFactor?: (host: Host) => number;
 }
 
@@ -166,5 +166,4 @@
   },
 };
 
-/** All scenarios. */
 export const kScenarios: Scenario[] = [...scenariosOf(kTengerline), ...scenariosOf(kShelters), kDeepFailures];
--- a/bench/policy/virtualTime.ts
+++ b/bench/policy/virtualTime.ts
@@ -3,18 +3,18 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Virtual time: events on the paused clock that the core reads. */
+/** Discrete-event scheduler on a fake clock, which the core reads through `performance` and `Date`. */
 
 import { type Clock, install } from '@sinonjs/fake-timers';
 
-/** A scheduled event; `cancel` keeps it from happening. */
+/** A scheduled event; `run` is undefined once it is cancelled. Events at the same time run in the order of `sequence`. */
 export interface Scheduled {
   at: number;
   sequence: number;
   run: (() => void) | undefined;
 }
 
-/** Events in the order of their time. */
+/** Runs scheduled events in order of time, and advances the fake clock. */
 export class VirtualTime {
   private readonly _heap: Scheduled[] = [];
   private readonly _clock: Clock;
@@ -25,12 +25,12 @@
     this._clock = install({ now: 0, toFake: ['performance', 'Date'] });
   }
 
-  /** Milliseconds since the start. */
+  /** Virtual milliseconds since the start. */
   get now(): number {
     return this._now;
   }
 
-  /** Schedules an event. */
+  /** Schedules an event after a delay; a negative delay counts as 0. */
   schedule(ms: number, run: () => void): Scheduled {
     const event: Scheduled = { at: this._now + Math.max(0, ms), sequence: this._nextSequence++, run };
     this._heap.push(event);
@@ -38,12 +38,11 @@
     return event;
   }
 
-  /** Keeps an event from happening. */
   cancel(event: Scheduled): void {
     event.run = undefined;
   }
 
-  /** Runs all events up to a time. */
+  /** Runs all events up to and including a time, and advances the clock to it. */
   runUntil(end: number): void {
     for (let event = this._heap[0]; event && event.at <= end; event = this._heap[0]) {
       this._removeFirst();
@@ -55,14 +54,14 @@
     this._advance(end);
   }
 
-  /** Gives the runtime its own clock back. */
+  /** Restores the real clock. */
   restore(): void {
     this._clock.uninstall();
   }
 
   private _advance(to: number): void {
     if (to > this._now) {
-      // The clock rounds each tick to nanoseconds; measured from its own reading the rounding does not add up.
+      // The fake clock rounds each tick to nanoseconds; ticking relative to its own reading keeps rounding errors from accumulating.
       this._clock.tick(Math.max(0, to - performance.now()));
       this._now = to;
     }
--- a/bench/policy/world.ts
+++ b/bench/policy/world.ts
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Hosts, targets and the network of one deployment in virtual time; shared by all policies. */
+/** Simulates the hosts, targets and network of one deployment in virtual time, for all policies. */
 
 import { type Random, seededRandom } from '@gentiandrum/core';
 import { type Deployment, kIntraZoneDelayMs, type LoadPlan } from './deployment.js';
 import { FakeTarget } from './fakeTarget.js';
 import { VirtualTime } from './virtualTime.js';
 
-/** A target host. */
+/** A host with its target. */
 export interface Host {
   index: number;
   name: string;
@@ -21,26 +21,27 @@
   crashed: boolean;
 }
 
-/** A root request, or one of its calls: `step` counts the calls made so far. */
+/** A call of a root request's chain; `step` is its position in the chain. */
 export interface ChainCall {
   root: string;
-  /** Spreads root requests, see the core's rank. */
+  /** Cohort of the root request, part of its rank. */
   cohort: number;
   load: LoadPlan;
   step: number;
   deadline: number;
 }
 
-/** Counts over one run, for the ratios. */
+/** Counts over one run. */
 export interface Counters {
-  /** First offers of calls, and offers that repeat one. */
+  /** First offers of calls. */
   firstOffers: number;
+  /** Further offers of the same calls. */
   repeats: number;
-  /** Work started at targets, by try of a root request. */
+  /** Calls started at targets, by try of a root request. */
   startsByTry: Map<string, number>;
 }
 
-/** World of one run. */
+/** The simulated deployment of one run. */
 export class World {
   readonly time = new VirtualTime();
   readonly random: Random;
@@ -68,17 +69,15 @@
     }
   }
 
-  /** Hosts of a service. */
   hostsOf(service: string): Host[] {
     return this._byService.get(service) ?? [];
   }
 
-  /** The host of this name. */
   hostNamed(name: string): Host | undefined {
     return this._byName.get(name);
   }
 
-  /** One-way network time between two hosts; undefined when they are cut off from each other. */
+  /** One-way network delay between two hosts, in milliseconds; undefined when a partition separates them. */
   delayMs(from: Host, to: Host): number | undefined {
     if (from.zone === to.zone) {
       return kIntraZoneDelayMs;
@@ -86,7 +85,7 @@
     return this._isolatedZones.has(from.zone) || this._isolatedZones.has(to.zone) ? undefined : this.deployment.interZoneDelayMs;
   }
 
-  /** Cuts a zone off from the others, or heals it. */
+  /** Isolates a zone from the others, or reconnects it. */
   setZoneIsolated(zone: string, isolated: boolean): void {
     if (isolated) {
       this._isolatedZones.add(zone);
@@ -95,7 +94,7 @@
     }
   }
 
-  /** Notes work that a target started for a try of a root request. */
+  /** Records that a target started a call for a try of a root request. */
   recordStart(root: string): void {
     const { startsByTry } = this.counters;
     startsByTry.set(root, (startsByTry.get(root) ?? 0) + 1);
