--- a/examples/demo.ts
+++ b/examples/demo.ts
@@ -15,17 +15,17 @@
 
 const kZones = ['bayanzurkh', 'khan-uul', 'songino'];
 const kConfig = fileURLToPath(new URL('../../examples/demo.yaml', import.meta.url));
-const kSurge = { calls: 600, atOnce: 120 };
-const kHolds = 20;
+const kSurgeLoad = { calls: 600, concurrency: 120 };
+const kHoldRequests = 20;
 const kStopCalls = 24;
 
-interface Finding {
-  promise: string;
-  held: boolean;
-  seen: string;
+interface CheckResult {
+  guarantee: string;
+  passed: boolean;
+  detail: string;
 }
 
-interface Answer {
+interface CallResponse {
   status: number;
   outcome: string | null;
   text: string;
@@ -34,36 +34,36 @@
 
 /** The demo's deployment, and what it has found. */
 class Demo {
-  private readonly _findings: Finding[] = [];
+  private readonly _results: CheckResult[] = [];
   private _calls = 0;
 
   constructor(private readonly _fleet: Fleet) {}
 
   async run(): Promise<boolean> {
     await this._configure();
-    await this._chain();
-    await this._holds();
-    await this._outage();
-    await this._surge();
-    await this._drain();
-    await this._stop();
-    say('\nWhat was promised, and what was seen:');
-    for (const { promise, held, seen } of this._findings) {
-      say(`  ${held ? 'held ' : 'BROKE'}  ${promise}: ${seen}`);
+    await this._callChains();
+    await this._placeHolds();
+    await this._breakLog();
+    await this._overload();
+    await this._drainTarget();
+    await this._stopDaemon();
+    print('\nWhat was promised, and what was seen:');
+    for (const { guarantee, passed, detail } of this._results) {
+      print(`  ${passed ? 'held ' : 'BROKE'}  ${guarantee}: ${detail}`);
     }
-    return this._findings.every(({ held }) => held);
+    return this._results.every(({ passed }) => passed);
   }
 
   private async _configure(): Promise<void> {
-    say('Submitting the configuration against version 0, and a racing patch against the same version.');
+    print('Submitting the configuration against version 0, and a racing patch against the same version.');
     const first = await this._fleet.client(
       ['apply', 'FILE', '--base', '0', '--wait', '--author', 'dispatcher'],
       parse(readFileSync(kConfig, 'utf8')),
     );
-    say(indent(first.out + first.err));
+    print(indent(first.out + first.err));
     const second = await this._fleet.client(['apply', 'FILE', '--base', '0', '--author', 'other'], { retryRatio: 0.2 });
-    say(indent(second.out + second.err));
-    this._find(
+    print(indent(second.out + second.err));
+    this._recordCheck(
       'an accepted configuration is in force everywhere, and one of two racing patches wins',
       first.code === 0 && second.code === 3,
       first.out.split('\n')[0] ?? '',
@@ -73,99 +73,105 @@
       this._fleet.untilTargets('defects', 3),
       this._fleet.untilTargets('hazards', 3),
     ]);
-    say(indent((await this._fleet.client(['status'])).out));
+    print(indent((await this._fleet.client(['status'])).out));
   }
 
-  private async _chain(): Promise<void> {
-    say('Calling each class; span histories go archive, defects, hazards.');
+  private async _callChains(): Promise<void> {
+    print('Calling each class; span histories go archive, defects, hazards.');
     const history = await this._call('GET', '/archive/spans/7/history', 'span');
     const lookup = await this._call('GET', '/hazards/lookup/7', 'lookup');
     const report = await this._call('GET', '/archive/reports/7', 'report');
-    say(indent([history, lookup, report].map(({ status, text }) => `${status} ${text}`).join('\n')));
-    const whole =
+    print(indent([history, lookup, report].map(({ status, text }) => `${status} ${text}`).join('\n')));
+    const complete =
       history.text === 'archive GET /spans/7/history' &&
       lookup.text === 'hazards GET /lookup/7' &&
       report.text === 'archive GET /reports/7';
-    this._find('whole answers reach the callers who asked', whole, 'three classes, each its own answer');
-    this._find('a chain runs each of its calls once when nothing fails', (await this._fleet.totalRuns('span')) === 3, '3 runs of 3 calls');
+    this._recordCheck('whole answers reach the callers who asked', complete, 'three classes, each its own answer');
+    this._recordCheck(
+      'a chain runs each of its calls once when nothing fails',
+      (await this._fleet.totalRuns('span')) === 3,
+      '3 runs of 3 calls',
+    );
   }
 
-  private async _holds(): Promise<void> {
-    say(`Placing ${kHolds} outage holds, each three times at three daemons at once.`);
+  private async _placeHolds(): Promise<void> {
+    print(`Placing ${kHoldRequests} outage holds, each three times at three daemons at once.`);
     const answers = await Promise.all(
-      Array.from({ length: kHolds }, (_, i) =>
+      Array.from({ length: kHoldRequests }, (_, i) =>
         Promise.all(
           [0, 1, 2].map((daemon) => this._call('POST', '/defects/holds', `hold-${i}`, daemon, { 'idempotency-key': `hold-${i}` })),
         ),
       ),
     );
-    const runs = await Promise.all(Array.from({ length: kHolds }, (_, i) => this._runsAtDefects(`hold-${i}`)));
+    const runs = await Promise.all(Array.from({ length: kHoldRequests }, (_, i) => this._runsAtDefects(`hold-${i}`)));
     const answered = answers.flat().filter(({ status }) => status === 200).length;
-    this._find(
+    this._recordCheck(
       'a non-idempotent hold runs at most once',
       runs.every((count) => count === 1),
-      `${answered} of ${kHolds * 3} answered, ${runs.reduce((a, b) => a + b, 0)} runs`,
+      `${answered} of ${kHoldRequests * 3} answered, ${runs.reduce((a, b) => a + b, 0)} runs`,
     );
   }
 
-  private async _outage(): Promise<void> {
-    say("Taking the platform's log down for a hold and a read.");
+  private async _breakLog(): Promise<void> {
+    print("Taking the platform's log down for a hold and a read.");
     await this._fleet.setLogFaults({ down: true });
     const hold = await this._call('POST', '/defects/holds', 'hold-down', 0, { 'idempotency-key': 'hold-down' });
     const read = await this._call('GET', '/hazards/lookup/8', 'lookup-down');
     await this._fleet.setLogFaults({});
     const runs = await this._runsAtDefects('hold-down');
-    this._find(
+    this._recordCheck(
       '"not run" means not run',
       hold.outcome === 'not_run' && runs === 0,
       `hold answered ${hold.status} ${hold.outcome ?? ''}, come back in ${hold.retryAfter ?? '?'} s, ${runs} runs`,
     );
-    this._find('a log outage leaves reads alone', read.status === 200, `read answered ${read.status}`);
+    this._recordCheck('a log outage leaves reads alone', read.status === 200, `read answered ${read.status}`);
   }
 
-  private async _surge(): Promise<void> {
-    say(`Surge: ${kSurge.calls} calls, ${kSurge.atOnce} at once; one in six is a hazard lookup.`);
+  private async _overload(): Promise<void> {
+    print(`Surge: ${kSurgeLoad.calls} calls, ${kSurgeLoad.concurrency} at once; one in six is a hazard lookup.`);
     const counts = { lookup: { good: 0, all: 0 }, report: { good: 0, all: 0 } };
-    const oneByOne = async (start: number): Promise<void> => {
-      for (let i = start; i < kSurge.calls; i += kSurge.atOnce) {
+    const sendSequentially = async (start: number): Promise<void> => {
+      for (let i = start; i < kSurgeLoad.calls; i += kSurgeLoad.concurrency) {
         const kind = i % 6 === 0 ? 'lookup' : 'report';
         const { status } = await this._call('GET', kind === 'lookup' ? `/hazards/lookup/${i}` : `/archive/reports/${i}`, 'surge', i % 9);
         counts[kind].all++;
         counts[kind].good += status === 200 ? 1 : 0;
       }
     };
-    await Promise.all(Array.from({ length: kSurge.atOnce }, (_, i) => oneByOne(i)));
+    await Promise.all(Array.from({ length: kSurgeLoad.concurrency }, (_, i) => sendSequentially(i)));
     const { lookup, report } = counts;
-    this._find(
+    this._recordCheck(
       'hazard lookups are shed last',
       lookup.good / lookup.all >= report.good / report.all,
       `${lookup.good} of ${lookup.all} lookups, ${report.good} of ${report.all} reports answered`,
     );
   }
 
-  private async _drain(): Promise<void> {
-    say('Draining one target of hazards.');
+  private async _drainTarget(): Promise<void> {
+    print('Draining one target of hazards.');
     const drained = await this._fleet.client(['drain', 'hazards-1-target', '--wait']);
     const before = Object.values(await this._fleet.runsOf('hazards-1')).reduce((a, b) => a + b, 0);
     const answers = await Promise.all(Array.from({ length: 60 }, (_, i) => this._call('GET', `/hazards/lookup/${i}`, 'drain', i % 9)));
     const after = Object.values(await this._fleet.runsOf('hazards-1')).reduce((a, b) => a + b, 0);
     const good = answers.filter(({ status }) => status === 200).length;
-    this._find(
+    this._recordCheck(
       'a leaving target receives no new work',
       drained.code === 0 && after === before && good === 60,
       `${good} of 60 answered elsewhere, ${after - before} at the leaving one`,
     );
   }
 
-  private async _stop(): Promise<void> {
+  private async _stopDaemon(): Promise<void> {
     await this._fleet.client(['drain', 'hazards-1-target', '--undo', '--wait']);
-    say('Stopping one daemon of archive by SIGTERM under load.');
-    const running = Array.from({ length: kStopCalls }, (_, i) => this._call('GET', `/archive/spans/${i}/history`, 'stop', 3 + (i % 6)));
+    print('Stopping one daemon of archive by SIGTERM under load.');
+    const pendingCalls = Array.from({ length: kStopCalls }, (_, i) =>
+      this._call('GET', `/archive/spans/${i}/history`, 'stop', 3 + (i % 6)),
+    );
     const host = this._fleet.host('archive-1');
     host.daemon.kill('SIGTERM');
-    const [code, answers] = await Promise.all([exitOf(host.daemon), Promise.all(running)]);
+    const [code, answers] = await Promise.all([exitOf(host.daemon), Promise.all(pendingCalls)]);
     const good = answers.filter(({ status }) => status === 200).length;
-    this._find(
+    this._recordCheck(
       'a planned stop cuts nothing in flight',
       code === 0 && good === kStopCalls,
       `exit code ${code}, ${good} of ${kStopCalls} answered`,
@@ -179,7 +185,7 @@
     tag: string,
     daemon = this._calls++ % 9,
     headers: Record<string, string> = {},
-  ): Promise<Answer> {
+  ): Promise<CallResponse> {
     const host = [...this._fleet.hosts.values()][daemon];
     const res = await fetch(`http://${host?.address ?? ''}${path}`, { method, headers: { 'x-call': tag, ...headers } });
     const { status } = res;
@@ -192,12 +198,12 @@
     return counts.reduce((a, b) => a + b, 0);
   }
 
-  private _find(promise: string, held: boolean, seen: string): void {
-    this._findings.push({ promise, held, seen });
+  private _recordCheck(guarantee: string, passed: boolean, detail: string): void {
+    this._results.push({ guarantee, passed, detail });
   }
 }
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
@@ -209,7 +215,7 @@
     .join('\n');
 }
 
-function plans(): Parameters<typeof Fleet.start>[0] {
+function hostPlans(): Parameters<typeof Fleet.start>[0] {
   const onward = (service: string, path: string): { onward: { service: string; method: string; path: string }[] } => ({
     onward: [{ service, method: 'GET', path }],
   });
@@ -222,13 +228,13 @@
   ];
 }
 
-say('Starting the log stand-in, and nine hosts in three availability zones.');
-const fleet = await Fleet.start(plans());
-let held = false;
+print('Starting the log stand-in, and nine hosts in three availability zones.');
+const fleet = await Fleet.start(hostPlans());
+let passed = false;
 try {
-  held = await new Demo(fleet).run();
+  passed = await new Demo(fleet).run();
 } finally {
   fleet.stop();
 }
-say(held ? '\nEvery promise held.' : '\nA promise was broken.');
-process.exit(held ? 0 : 1);
+print(passed ? '\nEvery promise held.' : '\nA promise was broken.');
+process.exit(passed ? 0 : 1);
