--- a/examples/demo.ts
+++ b/examples/demo.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * The demo: a small deployment of real processes on the loopback, a configuration change, calls of every class through a
- * chain of three services, a surge, and a planned stop. Prints what happened; exits with 0 only if every promise held.
+ * Runs a small deployment of real processes on the loopback: a configuration change, calls through a chain of three services, a log
+ * outage, a surge, a drain and a planned stop. Checks the guarantees of the layer, and exits with 0 only if all checks pass.
  */
 
 import { readFileSync } from 'node:fs';
@@ -32,7 +32,7 @@
   retryAfter: string | null;
 }
 
-/** The demo's deployment, and what it has found. */
+/** Runs the steps of the demo and collects the results of its checks. */
 class Demo {
   private readonly _results: CheckResult[] = [];
   private _calls = 0;
@@ -47,15 +47,15 @@
     await this._overload();
     await this._drainTarget();
     await this._stopDaemon();
-    print('\nWhat was promised, and what was seen:');
+    print('\nGuarantees checked:');
     for (const { guarantee, passed, detail } of this._results) {
-      print(`  ${passed ? 'held ' : 'BROKE'}  ${guarantee}: ${detail}`);
+      print(`  ${passed ? 'passed' : 'FAILED'}  ${guarantee}: ${detail}`);
     }
     return this._results.every(({ passed }) => passed);
   }
 
   private async _configure(): Promise<void> {
-    print('Submitting the configuration against version 0, and a racing patch against the same version.');
+    print('Submitting the configuration against version 0, then a conflicting patch against the same version.');
     const first = await this._fleet.client(
       ['apply', 'FILE', '--base', '0', '--wait', '--author', 'dispatcher'],
       parse(readFileSync(kConfig, 'utf8')),
@@ -64,7 +64,7 @@
     const second = await this._fleet.client(['apply', 'FILE', '--base', '0', '--author', 'other'], { retryRatio: 0.2 });
     print(indent(second.out + second.err));
     this._recordCheck(
-      'an accepted configuration is in force everywhere, and one of two racing patches wins',
+      'an accepted configuration takes effect on every daemon, and only one of two patches against the same version wins',
       first.code === 0 && second.code === 3,
       first.out.split('\n')[0] ?? '',
     );
@@ -77,7 +77,7 @@
   }
 
   private async _callChains(): Promise<void> {
-    print('Calling each class; span histories go archive, defects, hazards.');
+    print('Calling three classes; a span history is a chain of calls to archive, defects and hazards.');
     const history = await this._call('GET', '/archive/spans/7/history', 'span');
     const lookup = await this._call('GET', '/hazards/lookup/7', 'lookup');
     const report = await this._call('GET', '/archive/reports/7', 'report');
@@ -86,16 +86,16 @@
       history.text === 'archive GET /spans/7/history' &&
       lookup.text === 'hazards GET /lookup/7' &&
       report.text === 'archive GET /reports/7';
-    this._recordCheck('whole answers reach the callers who asked', complete, 'three classes, each its own answer');
+    this._recordCheck('each caller receives the complete response to its own request', complete, 'one response for each of three classes');
     this._recordCheck(
-      'a chain runs each of its calls once when nothing fails',
+      'each call of a chain runs once when nothing fails',
       (await this._fleet.totalRuns('span')) === 3,
       '3 runs of 3 calls',
     );
   }
 
   private async _placeHolds(): Promise<void> {
-    print(`Placing ${kHoldRequests} outage holds, each three times at three daemons at once.`);
+    print(`Placing ${kHoldRequests} outage holds, each sent to three daemons concurrently.`);
     const answers = await Promise.all(
       Array.from({ length: kHoldRequests }, (_, i) =>
         Promise.all(
@@ -113,22 +113,22 @@
   }
 
   private async _breakLog(): Promise<void> {
-    print("Taking the platform's log down for a hold and a read.");
+    print('Sending a hold and a read during an outage of the log.');
     await this._fleet.setLogFaults({ down: true });
     const hold = await this._call('POST', '/defects/holds', 'hold-down', 0, { 'idempotency-key': 'hold-down' });
     const read = await this._call('GET', '/hazards/lookup/8', 'lookup-down');
     await this._fleet.setLogFaults({});
     const runs = await this._runsAtDefects('hold-down');
     this._recordCheck(
-      '"not run" means not run',
+      'a request with outcome not_run did not run',
       hold.outcome === 'not_run' && runs === 0,
-      `hold answered ${hold.status} ${hold.outcome ?? ''}, come back in ${hold.retryAfter ?? '?'} s, ${runs} runs`,
+      `hold got status ${hold.status} ${hold.outcome ?? ''}, retry after ${hold.retryAfter ?? '?'} s, ${runs} runs`,
     );
-    this._recordCheck('a log outage leaves reads alone', read.status === 200, `read answered ${read.status}`);
+    this._recordCheck('a log outage does not affect reads', read.status === 200, `read got status ${read.status}`);
   }
 
   private async _overload(): Promise<void> {
-    print(`Surge: ${kSurgeLoad.calls} calls, ${kSurgeLoad.concurrency} at once; one in six is a hazard lookup.`);
+    print(`Surge: ${kSurgeLoad.calls} calls, ${kSurgeLoad.concurrency} concurrently; one in six is a hazard lookup.`);
     const counts = { lookup: { good: 0, all: 0 }, report: { good: 0, all: 0 } };
     const sendSequentially = async (start: number): Promise<void> => {
       for (let i = start; i < kSurgeLoad.calls; i += kSurgeLoad.concurrency) {
@@ -155,15 +155,15 @@
     const after = Object.values(await this._fleet.runsOf('hazards-1')).reduce((a, b) => a + b, 0);
     const good = answers.filter(({ status }) => status === 200).length;
     this._recordCheck(
-      'a leaving target receives no new work',
+      'a draining target receives no new calls',
       drained.code === 0 && after === before && good === 60,
-      `${good} of 60 answered elsewhere, ${after - before} at the leaving one`,
+      `${good} of 60 answered by other targets, ${after - before} by the draining target`,
     );
   }
 
   private async _stopDaemon(): Promise<void> {
     await this._fleet.client(['drain', 'hazards-1-target', '--undo', '--wait']);
-    print('Stopping one daemon of archive by SIGTERM under load.');
+    print('Stopping one daemon of archive with SIGTERM under load.');
     const pendingCalls = Array.from({ length: kStopCalls }, (_, i) =>
       this._call('GET', `/archive/spans/${i}/history`, 'stop', 3 + (i % 6)),
     );
@@ -172,13 +172,13 @@
     const [code, answers] = await Promise.all([exitOf(host.daemon), Promise.all(pendingCalls)]);
     const good = answers.filter(({ status }) => status === 200).length;
     this._recordCheck(
-      'a planned stop cuts nothing in flight',
+      'calls in flight complete during a planned stop',
       code === 0 && good === kStopCalls,
       `exit code ${code}, ${good} of ${kStopCalls} answered`,
     );
   }
 
-  /** Calls through one of the daemons; the path names the service first. */
+  /** Sends a call through one of the daemons; the first segment of the path is the service. */
   private async _call(
     method: string,
     path: string,
@@ -192,7 +192,7 @@
     return { status, outcome: res.headers.get('gentiandrum-outcome'), retryAfter: res.headers.get('retry-after'), text: await res.text() };
   }
 
-  /** Runs of a call at the targets of defects; its onward call to hazards carries the same tag. */
+  /** Counts the runs of a call at the targets of defects only, as its downstream call to hazards has the same tag. */
   private async _runsAtDefects(call: string): Promise<number> {
     const counts = await Promise.all([1, 2, 3].map(async (i) => (await this._fleet.runsOf(`defects-${i}`))[call] ?? 0));
     return counts.reduce((a, b) => a + b, 0);
@@ -228,7 +228,7 @@
   ];
 }
 
-print('Starting the log stand-in, and nine hosts in three availability zones.');
+print('Starting the log stand-in and nine hosts in three availability zones.');
 const fleet = await Fleet.start(hostPlans());
 let passed = false;
 try {
@@ -236,5 +236,5 @@
 } finally {
   fleet.stop();
 }
-print(passed ? '\nEvery promise held.' : '\nA promise was broken.');
+print(passed ? '\nAll checks passed.' : '\nA check failed.');
 process.exit(passed ? 0 : 1);
