--- a/utils/absentHttp2.cjs
+++ b/utils/absentHttp2.cjs
@@ -3,6 +3,6 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stands for the runtime's HTTP/2, which the bundled daemon never speaks: loading it takes 13 ms of processor time at each start. */
+/** Replaces `node:http2`, which the bundled daemon does not use, to shorten its start. */
 
 module.exports = { constants: {} };
--- a/utils/absentModule.cjs
+++ b/utils/absentModule.cjs
@@ -3,6 +3,6 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Stands for an optional module that is left out of the bundle: whoever asks for it goes on without. */
+/** Replaces an optional module that the bundle excludes: requiring it throws, and its dependents use their fallback. */
 
-throw new Error('left out of the bundle');
+throw new Error('optional module excluded from the bundle');
--- a/utils/bundle.mjs
+++ b/utils/bundle.mjs
@@ -3,10 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * Builds the daemon for the platform under `target/`: one file, so that a start opens few of them, and beside it the
- * compiled code, so that a start compiles little.
- */
+/** Bundles the platform daemon into `target/` as one file, together with a V8 code cache that shortens its start. */
 
 import { spawnSync } from 'node:child_process';
 import { copyFileSync, readFileSync } from 'node:fs';
@@ -22,7 +19,7 @@
   }
 }
 
-/** Flags of the runtime from the deploy file: compiled code is refused by a runtime with other flags. */
+/** Node.js flags from the deploy file: V8 rejects a code cache that was written with other flags. */
 function deployedFlags() {
   const command = /^run = "node (.*) target\/gentiandrumd\.cjs"$/m.exec(readFileSync(`${kRoot}/deploy/system.toml`, 'utf8'));
   if (!command) {
@@ -44,9 +41,9 @@
   alias: {
     undici: './utils/leanUndici.cjs',
     'prom-client': './utils/leanPromClient.cjs',
-    // Optional native code for long texts: daemons' messages are short, and loading it takes as long as loading the bundle.
+    // Optional native decoder for long strings: messages of daemons are short, and loading it delays the start.
     'msgpackr-extract': './utils/absentModule.cjs',
-    // undici's client of HTTP/2, which the log does not speak.
+    // Used by undici's HTTP/2 client only; the log does not support HTTP/2.
     'node:http2': './utils/absentHttp2.cjs',
     'undici/lib/llhttp/llhttp-wasm.js': './node_modules/undici/lib/llhttp/llhttp-wasm.js',
   },
--- a/utils/checkDeps.mjs
+++ b/utils/checkDeps.mjs
@@ -4,10 +4,10 @@
  */
 
 /**
- * Checks that every source file imports only what the DEPS.list of its folder names, and begins with the license header.
+ * Checks that every source file begins with the license header and imports only what the nearest DEPS.list, in its folder or above,
+ * allows.
  *
- * A DEPS.list line is a package name, `node:*`, or a folder relative to the list. `# ` begins a comment. The list of the
- * nearest folder upwards counts.
+ * A DEPS.list line is a package name, `node:*`, or a folder relative to the list. `#` starts a comment.
  */
 
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
@@ -67,7 +67,7 @@
   const text = readFileSync(file, 'utf8');
   const name = relative(kRoot, file);
   if (!text.startsWith(kHeader)) {
-    faults.push(`${name}: expected the license header`);
+    faults.push(`${name}: expected the license header at the start`);
   }
   const list = listFor(dirname(file));
   if (!list) {
@@ -76,7 +76,7 @@
   }
   for (const [, imported] of text.matchAll(kImport)) {
     if (!allows(list, file, imported)) {
-      faults.push(`${name}: imports ${imported}, which ${relative(kRoot, list.at)}/DEPS.list doesn't name`);
+      faults.push(`${name}: expected only imports that ${relative(kRoot, list.at)}/DEPS.list allows, got ${imported}`);
     }
   }
 }
--- a/utils/checkNames.mjs
+++ b/utils/checkNames.mjs
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Checks that nothing outside the adapter, its deployment and its stand-ins names the platform's headers, paths or keys. */
+/** Checks that the platform's header, path and key names occur only in the platform adapter, its deployment files and its tests. */
 
 import { spawnSync } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
@@ -15,6 +15,6 @@
 
 const found = spawnSync('git', ['grep', '-nIiE', kNames, '--', ...kSearched], { cwd: kRoot, encoding: 'utf8' });
 if (found.status === 0) {
-  console.error(`expected the platform's names only in platform/, deploy/ and the tests of the adapter, got:\n${found.stdout}`);
+  console.error(`expected names of the platform only in platform/, deploy/, tests/platform/ and tests/mesh/, got:\n${found.stdout}`);
 }
 process.exit(found.status === 1 ? 0 : 1);
--- a/utils/leanPromClient.cjs
+++ b/utils/leanPromClient.cjs
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The parts of prom-client that the bundled daemon uses: its index would load pushing to a gateway, clusters and the runtime's metrics. */
+/** The parts of prom-client that the bundled daemon uses, without the push gateway, cluster and default metrics that its index loads. */
 
 module.exports = {
   Counter: require('../node_modules/prom-client/lib/counter.js'),
--- a/utils/leanUndici.cjs
+++ b/utils/leanUndici.cjs
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The parts of undici that the bundled daemon uses: its index would load fetch, caches, mocks and web sockets at each start. */
+/** The parts of undici that the bundled daemon uses, without fetch, caches, mocks and WebSocket, which its index loads. */
 
 const Dispatcher = require('../node_modules/undici/lib/dispatcher/dispatcher.js');
 
--- a/utils/licenseHeader.mjs
+++ b/utils/licenseHeader.mjs
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The header that every source file begins with. */
+/** License header at the start of every source file. */
 export const kHeader = `/**
  * Copyright (c) The gentiandrum authors.
  * SPDX-License-Identifier: Apache-2.0
--- a/utils/setup.mjs
+++ b/utils/setup.mjs
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Installs the dependencies when they are missing, then builds what changed. */
+/** Installs missing dependencies, then runs an incremental build. */
 
 import { spawnSync } from 'node:child_process';
 import { existsSync } from 'node:fs';
--- a/utils/startBundle.cjs
+++ b/utils/startBundle.cjs
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Starts the bundled daemon from its compiled code; without a fitting one it is compiled as usual. */
+/** Starts the bundled daemon from its V8 code cache, or compiles it when the cache is missing or rejected. */
 
 const { readFileSync, writeFileSync } = require('node:fs');
 const { join } = require('node:path');
@@ -24,13 +24,12 @@
 const source = `(function (exports, require, module) {${readFileSync(kSource, 'utf8')}\n})`;
 const script = new Script(source, { filename: kSource, cachedData: readCache() });
 if (script.cachedDataRejected) {
-  // Compiling the whole bundle takes five times as long as a start from compiled code.
-  process.stderr.write('gentiandrumd: the compiled code was written by another runtime or with other flags, and is not used\n');
+  process.stderr.write('gentiandrumd: ignored the code cache, which was written by another Node.js version or with other flags\n');
 }
 const main = { exports: {} };
 script.runInThisContext().call(main.exports, main.exports, require, main);
 if (writesCache) {
-  // The daemon was run without settings and ended at once: what its start compiles is compiled by now.
+  // Without settings the daemon exits at once; the functions that its start needs are compiled by now.
   writeFileSync(kCache, script.createCachedData());
   process.exitCode = 0;
 }
--- a/utils/test.mjs
+++ b/utils/test.mjs
@@ -4,11 +4,11 @@
  */
 
 /**
- * Runs all tests, prints what failed, and ends with `N passed, N failed` from the runner's own counts.
+ * Runs the tests with ava, prints its output when a test fails, and ends with `N passed, N failed` as counted by ava.
  *
- * A failing test that KNOWN-RED.txt names (one line each: test title | cause | issue) is printed and doesn't fail the run;
- * one that it names and that passes does, so that the list stays true. A line that begins with `beside load: ` names a test
- * that was seen failing only there, and may pass.
+ * KNOWN-RED.txt lists known failures, one per line: test title | cause | issue. A listed test that fails is printed and does not fail
+ * the run; a listed test that passes fails the run, so that the list stays up to date. A line that begins with `beside load: ` names a
+ * test that fails only on a loaded machine, and may pass.
  */
 
 import { spawnSync } from 'node:child_process';
