--- a/utils/bundle.mjs
+++ b/utils/bundle.mjs
@@ -13,9 +13,9 @@
 const kRoot = fileURLToPath(new URL('..', import.meta.url));
 
 function run(args) {
-  const done = spawnSync(process.execPath, args, { cwd: kRoot, stdio: 'inherit' });
-  if (done.status !== 0) {
-    process.exit(done.status ?? 1);
+  const result = spawnSync(process.execPath, args, { cwd: kRoot, stdio: 'inherit' });
+  if (result.status !== 0) {
+    process.exit(result.status ?? 1);
   }
 }
 
--- a/utils/checkDeps.mjs
+++ b/utils/checkDeps.mjs
@@ -13,7 +13,7 @@
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { dirname, join, relative, resolve } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { kHeader } from './licenseHeader.mjs';
+import { kLicenseHeader } from './licenseHeader.mjs';
 
 const kRoot = fileURLToPath(new URL('..', import.meta.url));
 const kFolders = [
@@ -29,17 +29,17 @@
 ];
 const kImport = /(?:from|import)\s+'([^']+)'/g;
 
-function filesBelow(folder) {
+function sourceFilesUnder(folder) {
   return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
     const path = join(folder, entry.name);
     if (entry.isDirectory()) {
-      return entry.name === 'gen' ? [] : filesBelow(path);
+      return entry.name === 'gen' ? [] : sourceFilesUnder(path);
     }
     return entry.name.endsWith('.ts') ? [path] : [];
   });
 }
 
-function listFor(folder) {
+function findDepsList(folder) {
   for (let at = folder; at.startsWith(kRoot); at = dirname(at)) {
     const file = join(at, 'DEPS.list');
     if (existsSync(file)) {
@@ -50,7 +50,7 @@
   return undefined;
 }
 
-function allows(list, file, name) {
+function isAllowed(list, file, name) {
   if (name.startsWith('.')) {
     const target = dirname(resolve(dirname(file), name));
     const inside = target === dirname(file);
@@ -59,26 +59,26 @@
   return list.allowed.some((entry) => entry === name || (entry === 'node:*' && name.startsWith('node:')));
 }
 
-const faults = [];
+const errors = [];
 for (const file of kFolders
   .map((folder) => join(kRoot, folder))
   .filter(existsSync)
-  .flatMap(filesBelow)) {
+  .flatMap(sourceFilesUnder)) {
   const text = readFileSync(file, 'utf8');
   const name = relative(kRoot, file);
-  if (!text.startsWith(kHeader)) {
-    faults.push(`${name}: expected the license header at the start`);
+  if (!text.startsWith(kLicenseHeader)) {
+    errors.push(`${name}: expected the license header at the start`);
   }
-  const list = listFor(dirname(file));
+  const list = findDepsList(dirname(file));
   if (!list) {
-    faults.push(`${name}: expected a DEPS.list in its folder or above`);
+    errors.push(`${name}: expected a DEPS.list in its folder or above`);
     continue;
   }
   for (const [, imported] of text.matchAll(kImport)) {
-    if (!allows(list, file, imported)) {
-      faults.push(`${name}: expected only imports that ${relative(kRoot, list.at)}/DEPS.list allows, got ${imported}`);
+    if (!isAllowed(list, file, imported)) {
+      errors.push(`${name}: expected only imports that ${relative(kRoot, list.at)}/DEPS.list allows, got ${imported}`);
     }
   }
 }
-faults.forEach((fault) => console.error(fault));
-process.exit(faults.length === 0 ? 0 : 1);
+errors.forEach((error) => console.error(error));
+process.exit(errors.length === 0 ? 0 : 1);
--- a/utils/checkNames.mjs
+++ b/utils/checkNames.mjs
@@ -9,12 +9,12 @@
 import { fileURLToPath } from 'node:url';
 
 const kRoot = fileURLToPath(new URL('..', import.meta.url));
-const kNames =
+const kPlatformNames =
   'x-attempt-id|x-deadline-remaining|x-response-seal|x-target-instance|x-server-load|x-not-executed|x-caller-service|x-tenant-id|auth_exempt|api_keys|rate_per_s|x-instance-id|/v1/instances|/v1/readiness|/v1/log-|log-append|log-newest|log-read|keyed\\.(op|servers|status)|traffic_split|path_prefix|cold_remaining_ms';
-const kSearched = ['packages', 'bench', 'examples', 'tests', ':!tests/platform', ':!tests/mesh'];
+const kSearchedPaths = ['packages', 'bench', 'examples', 'tests', ':!tests/platform', ':!tests/mesh'];
 
-const found = spawnSync('git', ['grep', '-nIiE', kNames, '--', ...kSearched], { cwd: kRoot, encoding: 'utf8' });
-if (found.status === 0) {
-  console.error(`expected names of the platform only in platform/, deploy/, tests/platform/ and tests/mesh/, got:\n${found.stdout}`);
+const grep = spawnSync('git', ['grep', '-nIiE', kPlatformNames, '--', ...kSearchedPaths], { cwd: kRoot, encoding: 'utf8' });
+if (grep.status === 0) {
+  console.error(`expected names of the platform only in platform/, deploy/, tests/platform/ and tests/mesh/, got:\n${grep.stdout}`);
 }
-process.exit(found.status === 1 ? 0 : 1);
+process.exit(grep.status === 1 ? 0 : 1);
--- a/utils/licenseHeader.mjs
+++ b/utils/licenseHeader.mjs
@@ -4,7 +4,7 @@
  */
 
 /** License header at the start of every source file. */
-export const kHeader = `/**
+export const kLicenseHeader = `/**
  * Copyright (c) The gentiandrum authors.
  * SPDX-License-Identifier: Apache-2.0
  */
--- a/utils/setup.mjs
+++ b/utils/setup.mjs
@@ -12,9 +12,9 @@
 const kRoot = fileURLToPath(new URL('..', import.meta.url));
 
 function run(command, args) {
-  const done = spawnSync(command, args, { cwd: kRoot, stdio: 'inherit' });
-  if (done.status !== 0) {
-    process.exit(done.status ?? 1);
+  const result = spawnSync(command, args, { cwd: kRoot, stdio: 'inherit' });
+  if (result.status !== 0) {
+    process.exit(result.status ?? 1);
   }
 }
 
--- a/utils/test.mjs
+++ b/utils/test.mjs
@@ -16,42 +16,42 @@
 import { fileURLToPath } from 'node:url';
 
 const kRoot = fileURLToPath(new URL('..', import.meta.url));
-const kKnownRed = fileURLToPath(new URL('../KNOWN-RED.txt', import.meta.url));
-const kBesideLoad = 'beside load: ';
+const kKnownRedFile = fileURLToPath(new URL('../KNOWN-RED.txt', import.meta.url));
+const kBesideLoadPrefix = 'beside load: ';
 const kMaxOutput = 256 * 1024 * 1024;
 
-const known = existsSync(kKnownRed)
-  ? readFileSync(kKnownRed, 'utf8')
+const knownFailures = existsSync(kKnownRedFile)
+  ? readFileSync(kKnownRedFile, 'utf8')
       .split('\n')
       .filter((line) => line.trim() !== '' && !line.startsWith('#'))
       .map((line) => line.split('|')[0].trim())
-      .map((name) => ({ title: name.replace(kBesideLoad, ''), mayPass: name.startsWith(kBesideLoad) }))
+      .map((name) => ({ title: name.replace(kBesideLoadPrefix, ''), mayPass: name.startsWith(kBesideLoadPrefix) }))
   : [];
-const run = spawnSync(process.execPath, ['node_modules/ava/entrypoints/cli.mjs', '--tap', ...process.argv.slice(2)], {
+const ava = spawnSync(process.execPath, ['node_modules/ava/entrypoints/cli.mjs', '--tap', ...process.argv.slice(2)], {
   cwd: kRoot,
   encoding: 'utf8',
   maxBuffer: kMaxOutput,
 });
-const lines = run.stdout.split('\n');
-const points = lines.flatMap((line) => {
-  const found = /^(not ok|ok) \d+ - (.*?)(?: # (SKIP|TODO).*)?$/.exec(line);
-  return found ? [{ ok: found[1] === 'ok', title: found[2].trim(), skipped: found[3] !== undefined }] : [];
+const lines = ava.stdout.split('\n');
+const results = lines.flatMap((line) => {
+  const match = /^(not ok|ok) \d+ - (.*?)(?: # (SKIP|TODO).*)?$/.exec(line);
+  return match ? [{ ok: match[1] === 'ok', title: match[2].trim(), skipped: match[3] !== undefined }] : [];
 });
-const passed = Number(/^# pass (\d+)/m.exec(run.stdout)?.[1] ?? 0);
-const failed = Number(/^# fail (\d+)/m.exec(run.stdout)?.[1] ?? 0);
-const red = points.filter((point) => !point.ok);
-const unexpected = red.filter((point) => !known.some(({ title }) => point.title.endsWith(title)));
-const mended = known
-  .filter(({ title, mayPass }) => !mayPass && points.some((point) => point.ok && point.title.endsWith(title)))
+const passed = Number(/^# pass (\d+)/m.exec(ava.stdout)?.[1] ?? 0);
+const failed = Number(/^# fail (\d+)/m.exec(ava.stdout)?.[1] ?? 0);
+const failures = results.filter((result) => !result.ok);
+const unexpected = failures.filter((result) => !knownFailures.some(({ title }) => result.title.endsWith(title)));
+const passingKnown = knownFailures
+  .filter(({ title, mayPass }) => !mayPass && results.some((result) => result.ok && result.title.endsWith(title)))
   .map(({ title }) => title);
 
-if (red.length > 0 || run.status !== 0) {
-  process.stdout.write(run.stdout);
-  process.stderr.write(run.stderr);
+if (failures.length > 0 || ava.status !== 0) {
+  process.stdout.write(ava.stdout);
+  process.stderr.write(ava.stderr);
 }
-red.filter((point) => !unexpected.includes(point)).forEach((point) => console.log(`known red: ${point.title}`));
-mended.forEach((title) => console.log(`listed in KNOWN-RED.txt, but passes: ${title}`));
+failures.filter((result) => !unexpected.includes(result)).forEach((result) => console.log(`known red: ${result.title}`));
+passingKnown.forEach((title) => console.log(`listed in KNOWN-RED.txt, but passes: ${title}`));
 console.log(`${passed} passed, ${failed} failed`);
-const crashed = run.status !== 0 && red.length === 0;
-const counted = passed + failed === points.filter((point) => !point.skipped).length && passed > 0;
-process.exit(unexpected.length === 0 && mended.length === 0 && !crashed && counted ? 0 : 1);
+const crashed = ava.status !== 0 && failures.length === 0;
+const counted = passed + failed === results.filter((result) => !result.skipped).length && passed > 0;
+process.exit(unexpected.length === 0 && passingKnown.length === 0 && !crashed && counted ? 0 : 1);
