--- a/bench/arrival/main.ts
+++ b/bench/arrival/main.ts
@@ -39,17 +39,17 @@
 }
 
 async function startHost(fleet: MeshFleet, folder: string, id: string, service: string): Promise<RunningHost> {
-  const prepared = await fleet.prepare(id, service);
+  const preparedHost = await fleet.prepare(id, service);
   const file = join(folder, `${id}.yaml`);
-  writeFileSync(file, JSON.stringify({ ...prepared.settings, logLinesPerSecond: 20 }));
+  writeFileSync(file, JSON.stringify({ ...preparedHost.settings, logLinesPerSecond: 20 }));
   const profilingFlags = kProfileDir === undefined ? [] : ['--cpu-prof', '--cpu-prof-dir', kProfileDir];
   const child = spawn(process.execPath, [...kNodeFlags, ...profilingFlags, 'target/gentiandrumd.cjs'], {
     cwd: kRoot,
     env: { GENTIANDRUM_BOOT: file },
     stdio: 'ignore',
   });
-  await fleet.until(`${id} to listen`, () => prepared.target.sendHeartbeat(prepared.host.control).then(Boolean, () => false));
-  return { ...prepared, child };
+  await fleet.until(`${id} to listen`, () => preparedHost.target.sendHeartbeat(preparedHost.host.control).then(Boolean, () => false));
+  return { ...preparedHost, child };
 }
 
 function cpuSeconds(child: ChildProcess): number {
--- a/bench/policy/baselinePolicies.ts
+++ b/bench/policy/baselinePolicies.ts
@@ -63,13 +63,13 @@
 
   call(from: Host, call: ChainCall, _parent: string | undefined, done: (result: CallResult) => void): Cancel {
     this._world.counters.firstOffers++;
-    const budget = `${from.name}/${call.load.chain[call.step] ?? ''}`;
-    this._budgets.set(budget, Math.min(kRetryBudgetBurst, (this._budgets.get(budget) ?? kRetryBudgetBurst) + kRetryBudgetRatio));
+    const budgetKey = `${from.name}/${call.load.chain[call.step] ?? ''}`;
+    this._budgets.set(budgetKey, Math.min(kRetryBudgetBurst, (this._budgets.get(budgetKey) ?? kRetryBudgetBurst) + kRetryBudgetRatio));
     let cancel: Cancel = () => undefined;
     const attempt = (retriesLeft: number): void => {
       const to = this._choose(call.load.chain[call.step] ?? '');
       cancel = this._send(from, to, call, (ok) => {
-        if (ok || retriesLeft === 0 || !call.load.idempotent || this._world.time.now >= call.deadline || !this._takeRetryToken(budget)) {
+        if (ok || retriesLeft === 0 || !call.load.idempotent || this._world.time.now >= call.deadline || !this._takeRetryToken(budgetKey)) {
           done({ ok, retryAfter: false });
         } else {
           this._world.counters.repeats++;
@@ -83,9 +83,9 @@
     };
   }
 
-  private _takeRetryToken(budget: string): boolean {
-    const tokens = this._budgets.get(budget) ?? 0;
-    this._budgets.set(budget, tokens >= 1 ? tokens - 1 : tokens);
+  private _takeRetryToken(budgetKey: string): boolean {
+    const tokens = this._budgets.get(budgetKey) ?? 0;
+    this._budgets.set(budgetKey, tokens >= 1 ? tokens - 1 : tokens);
     return tokens >= 1;
   }
 
@@ -224,11 +224,11 @@
       }
       const next = { ...call, step: call.step + 1 };
       cancel = to.target.serve({
-        onward:
+        callDownstream:
           next.step < call.load.chain.length
-            ? (onwardDone) =>
+            ? (downstreamDone) =>
                 policy.call(to, next, undefined, ({ ok }) => {
-                  onwardDone(ok);
+                  downstreamDone(ok);
                 })
             : undefined,
         onStarted: () => {
--- a/bench/policy/fakeTarget.ts
+++ b/bench/policy/fakeTarget.ts
@@ -14,7 +14,7 @@
 /** A call that a target serves. */
 export interface TargetCall {
   /** Makes the downstream call and reports whether it succeeded; undefined at the end of the chain. */
-  onward: ((done: (ok: boolean) => void) => Cancel) | undefined;
+  callDownstream: ((done: (ok: boolean) => void) => Cancel) | undefined;
   /** Called when the call gets a slot. */
   onStarted: () => void;
   /** Called once with the result, unless the call is cancelled. */
@@ -25,7 +25,7 @@
   call: TargetCall;
   phase: 'queued' | 'running' | 'ended';
   timer: Scheduled | undefined;
-  cancelOnward: Cancel | undefined;
+  cancelDownstream: Cancel | undefined;
 }
 
 const kWarmupMs = 5_000;
@@ -59,9 +59,9 @@
   /** Crashes; all running and queued calls are lost. */
   crash(): void {
     this.crashed = true;
-    for (const work of [...this._active]) {
-      this._remove(work);
-      work.call.onDone('dead');
+    for (const activeCall of [...this._active]) {
+      this._remove(activeCall);
+      activeCall.call.onDone('dead');
     }
   }
 
@@ -73,61 +73,61 @@
 
   /** Serves or queues a call. Cancelling the call releases its slot at once. */
   serve(call: TargetCall): Cancel {
-    const work: ActiveCall = { call, phase: 'queued', timer: undefined, cancelOnward: undefined };
-    this._active.add(work);
+    const activeCall: ActiveCall = { call, phase: 'queued', timer: undefined, cancelDownstream: undefined };
+    this._active.add(activeCall);
     if (this._running < this._slots) {
-      this._start(work);
+      this._start(activeCall);
     } else {
-      this._queue.push(work);
+      this._queue.push(activeCall);
     }
     return () => {
-      this._remove(work);
+      this._remove(activeCall);
     };
   }
 
-  private _start(work: ActiveCall): void {
+  private _start(activeCall: ActiveCall): void {
     this._running++;
-    work.phase = 'running';
-    work.call.onStarted();
+    activeCall.phase = 'running';
+    activeCall.call.onStarted();
     const coldSlowdown = this._time.now - this._restartedAt < kWarmupMs ? kColdSlowdown : 1;
     const spread = 0.5 + this._random();
-    work.timer = this._time.schedule(this._workMs * spread * coldSlowdown * this.slowFactor, () => {
-      this._callOnward(work);
+    activeCall.timer = this._time.schedule(this._workMs * spread * coldSlowdown * this.slowFactor, () => {
+      this._callDownstream(activeCall);
     });
   }
 
-  private _callOnward(work: ActiveCall): void {
+  private _callDownstream(activeCall: ActiveCall): void {
     if (this._random() < this.failureRate) {
-      this._finish(work, 'failed');
-    } else if (work.call.onward) {
-      work.cancelOnward = work.call.onward((ok) => {
-        this._finish(work, ok ? 'ok' : 'failed');
+      this._finish(activeCall, 'failed');
+    } else if (activeCall.call.callDownstream) {
+      activeCall.cancelDownstream = activeCall.call.callDownstream((ok) => {
+        this._finish(activeCall, ok ? 'ok' : 'failed');
       });
     } else {
-      this._finish(work, 'ok');
+      this._finish(activeCall, 'ok');
     }
   }
 
-  private _finish(work: ActiveCall, result: 'ok' | 'failed'): void {
-    if (work.phase !== 'running') {
+  private _finish(activeCall: ActiveCall, result: 'ok' | 'failed'): void {
+    if (activeCall.phase !== 'running') {
       return;
     }
-    work.cancelOnward = undefined;
-    this._remove(work);
-    work.call.onDone(result);
+    activeCall.cancelDownstream = undefined;
+    this._remove(activeCall);
+    activeCall.call.onDone(result);
   }
 
-  private _remove(work: ActiveCall): void {
-    const wasRunning = work.phase === 'running';
-    if (work.phase === 'ended') {
+  private _remove(activeCall: ActiveCall): void {
+    const wasRunning = activeCall.phase === 'running';
+    if (activeCall.phase === 'ended') {
       return;
     }
-    work.phase = 'ended';
-    this._active.delete(work);
-    if (work.timer) {
-      this._time.cancel(work.timer);
+    activeCall.phase = 'ended';
+    this._active.delete(activeCall);
+    if (activeCall.timer) {
+      this._time.cancel(activeCall.timer);
     }
-    work.cancelOnward?.();
+    activeCall.cancelDownstream?.();
     if (wasRunning) {
       this._running--;
       this._startNext();
--- a/bench/policy/ideal.ts
+++ b/bench/policy/ideal.ts
@@ -47,14 +47,14 @@
 
 function idealOfPartition(partition: Host[], share: number, scenario: Scenario): Map<string, number> {
   const { deployment, loadFactor, workFactor } = scenario;
-  const workOf = (service: string): number => {
+  const workMsOf = (service: string): number => {
     const plan = deployment.services.find(({ name }) => name === service);
     const factors = partition.filter((host) => host.service === service).map((host) => workFactor?.(host) ?? 1);
     return (plan?.workMs ?? 0) * (factors[0] ?? 1);
   };
   const capacity = new Map(deployment.services.map(({ name }) => [name, slotsOf(partition, name) * kMsPerSecond]));
   const loads = [...deployment.loads].sort((a, b) => importanceIndex(a.importance) - importanceIndex(b.importance));
-  return new Map(loads.map((load) => [load.name, allocate(load, load.perSecond * loadFactor * share, capacity, workOf)]));
+  return new Map(loads.map((load) => [load.name, allocate(load, load.perSecond * loadFactor * share, capacity, workMsOf)]));
 }
 
 function slotsOf(partition: Host[], service: string): number {
@@ -62,15 +62,15 @@
 }
 
 /** Returns the rate at which a load can be served, and subtracts the slot time that it uses from `capacity`. */
-function allocate(load: LoadPlan, wanted: number, capacity: Map<string, number>, workOf: (service: string) => number): number {
+function allocate(load: LoadPlan, requestedRate: number, capacity: Map<string, number>, workMsOf: (service: string) => number): number {
   const slotMsByService = new Map<string, number>();
   let downstreamMs = 0;
   for (const service of [...load.chain].reverse()) {
-    downstreamMs += workOf(service) + (downstreamMs > 0 ? 2 * kIntraZoneDelayMs : 0);
+    downstreamMs += workMsOf(service) + (downstreamMs > 0 ? 2 * kIntraZoneDelayMs : 0);
     slotMsByService.set(service, (slotMsByService.get(service) ?? 0) + downstreamMs);
   }
   const feasibleRates = [...slotMsByService].map(([service, ms]) => (capacity.get(service) ?? 0) / ms);
-  const rate = Math.min(wanted, ...feasibleRates);
+  const rate = Math.min(requestedRate, ...feasibleRates);
   for (const [service, ms] of slotMsByService) {
     capacity.set(service, (capacity.get(service) ?? 0) - rate * ms);
   }
--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -222,9 +222,9 @@
     const call = this._chainCalls.get(terms.request);
     const host = this._world.hostNamed(to.target);
     const delayMs = host && this._world.delayMs(from.host, host);
-    const sendResult = (result: OfferResult, ms: number): void => {
+    const sendResult = (offerResult: OfferResult, ms: number): void => {
       this._world.time.schedule(ms, () => {
-        eventQueue?.push({ kind: 'ended', attempt, result });
+        eventQueue?.push({ kind: 'ended', attempt, result: offerResult });
       });
     };
     if (!host || !call || delayMs === undefined) {
@@ -281,7 +281,7 @@
       resume(reply);
     };
     const cancel = daemon.host.target.serve({
-      onward:
+      callDownstream:
         next.step < call.load.chain.length
           ? (done) =>
               this.call(daemon.host, next, attempt, ({ ok }) => {
