--- a/utils/checkDeps.mjs
+++ b/utils/checkDeps.mjs
@@ -76,7 +76,7 @@
   }
   for (const [, imported] of text.matchAll(kImport)) {
     if (!isAllowed(list, file, imported)) {
-      errors.push(`${name}: expected only imports that ${relative(kRoot, list.at)}/DEPS.list allows, got ${imported}`);
+      errors.push(`${name}: got an import of ${imported}, expected one that ${relative(kRoot, list.at)}/DEPS.list allows`);
     }
   }
 }
