--- a/utils/test.mjs
+++ b/utils/test.mjs
@@ -4,11 +4,11 @@
  */
 
 /**
- * Runs the tests with ava, prints its output when a test fails, and ends with `N passed, N failed` as counted by ava.
+ * Runs the tests with ava, prints its output when a test or ava itself fails, and ends with `N passed, N failed` as counted by ava.
  *
  * KNOWN-RED.txt lists known failures, one per line: test title | cause | issue. A listed test that fails is printed and does not fail
  * the run; a listed test that passes fails the run, so that the list stays up to date. A line that begins with `beside load: ` names a
- * test that fails only on a loaded machine, and may pass.
+ * test that is known to fail only on a loaded machine, and may pass.
  */
 
 import { spawnSync } from 'node:child_process';
