--- a/bench/control/fit.ts
+++ b/bench/control/fit.ts
@@ -3,18 +3,18 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Least-squares lines through measurements, with the error of the slope. */
+/** Least-squares linear regression. */
 
-/** A line through measurements. */
-export interface Line {
+/** A fitted line. */
+export interface LinearFit {
   slope: number;
   intercept: number;
   /** Standard error of the slope; NaN with fewer than three points. */
   slopeError: number;
 }
 
-/** Fits a line. */
-export function fitLine(points: readonly [x: number, y: number][]): Line {
+/** Fits a line to points by least squares. */
+export function fitLine(points: readonly [x: number, y: number][]): LinearFit {
   const n = points.length;
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / n;
   const meanY = points.reduce((sum, [, y]) => sum + y, 0) / n;
--- a/bench/control/crowd.ts
+++ b/bench/control/simulatedMembers.ts
@@ -3,10 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * A crowd of members that do nothing but take part in membership: they answer pings, ping the real daemons as often as so
- * many members would, and change their records at a given rate. So a daemon's control cost is measured at full size.
- */
+/** Simulated members that load real daemons with the membership traffic of a full-size deployment. */
 
 import type { AddressInfo } from 'node:net';
 import { clone, create } from '@bufbuild/protobuf';
@@ -18,19 +15,19 @@
 
 const kServices = 26;
 const kZones = 7;
-const kPeriodMs = 1_000;
+const kPingIntervalMs = 1_000;
 const kSlots = 100;
 
-/** The crowd. */
-export class Crowd {
+/** Members that share one listener: it responds to pings, pings the daemons, and changes member records at a given rate. */
+export class SimulatedMembers {
   private readonly _members: Member[] = [];
   private readonly _app = fastify();
   private readonly _timers: NodeJS.Timeout[] = [];
-  private _next = 0;
+  private _nextIndex = 0;
 
   constructor(private readonly _size: number) {}
 
-  /** Listens; gives the address at which daemons that start learn of the whole crowd. */
+  /** Listens; resolves to the seed address from which daemons fetch all simulated members. */
   async listen(): Promise<string> {
     const routes = (router: ConnectRouter): void => {
       router.service(PeerService, {
@@ -47,8 +44,8 @@
     return `127.0.0.1:${port}`;
   }
 
-  /** Begins to ping each daemon once a period; each ping carries `changes` changed records. */
-  start(daemons: string[], changes: number): void {
+  /** Pings each daemon at a fixed interval; each ping carries `changes` changed records. */
+  startPinging(daemons: string[], changes: number): void {
     for (const address of daemons) {
       const client = createClient(
         PeerService,
@@ -56,31 +53,30 @@
       );
       this._timers.push(
         setInterval(() => {
-          void client.ping({ from: `crowd${this._next % this._size}`, changes: this._change(changes) }).catch(() => undefined);
-        }, kPeriodMs),
+          void client.ping({ from: `crowd${this._nextIndex % this._size}`, changes: this._changeRecords(changes) }).catch(() => undefined);
+        }, kPingIntervalMs),
       );
     }
   }
 
-  /** Stops pinging. */
-  pause(): void {
+  stopPinging(): void {
     this._timers.splice(0).forEach((timer) => {
       clearInterval(timer);
     });
   }
 
-  /** Leaves. */
+  /** Stops pinging and listening. */
   async close(): Promise<void> {
-    this.pause();
+    this.stopPinging();
     await this._app.close();
   }
 
-  private _change(count: number): Member[] {
+  private _changeRecords(count: number): Member[] {
     return Array.from({ length: count }, () => {
-      const index = this._next++ % this._size;
+      const index = this._nextIndex++ % this._size;
       const changed = clone(MemberSchema, this._members[index] ?? makeMember(index, ''));
       changed.revision++;
-      changed.slots = kSlots + (this._next % kSlots);
+      changed.slots = kSlots + (this._nextIndex % kSlots);
       this._members[index] = changed;
       return changed;
     });
--- a/bench/policy/deployment.ts
+++ b/bench/policy/deployment.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The users' deployments at the brief's sizes, and the load that the bench puts on them. */
+/** Deployments that the comparison simulates, and the load on them. */
 
 import type { Importance } from '@gentiandrum/protocol';
 
@@ -12,43 +12,44 @@
   name: string;
   targets: number;
   slots: number;
-  /** Mean time of a call at the target without its onward call, in milliseconds. */
+  /** Mean work time of a call at the target, without its downstream call, in milliseconds. */
   workMs: number;
 }
 
-/** A kind of root requests. */
+/** A stream of root requests of one class. */
 export interface LoadPlan {
   name: string;
   importance: Importance;
   idempotent: boolean;
-  /** Services along the chain. */
+  /** Services along the call chain, from the first call to the last. */
   chain: string[];
+  /** Root requests per second at a load factor of 1. */
   perSecond: number;
 }
 
-/** A deployment and its load. */
+/** A deployment and its load; `interZoneDelayMs` is the one-way network delay between zones. */
 export interface Deployment {
   name: string;
   zones: string[];
-  zoneMs: number;
+  interZoneDelayMs: number;
   services: ServicePlan[];
   loads: LoadPlan[];
 }
 
-/** Retries that a request of an idempotent class may spend over its chain. */
-export const kAllowance = 3;
-/** Time for one try of a root request, in milliseconds. */
+/** Retries allowed for a request of an idempotent class over its whole chain. */
+export const kRetryAllowance = 3;
+/** Deadline of one try of a root request. */
 export const kDeadlineMs = 2_000;
-/** Network time within a zone, one way, in milliseconds. */
-export const kNearMs = 0.2;
-/** Network time between caller and daemon, one way, in milliseconds. */
-export const kCallerMs = 1;
+/** One-way network delay within a zone. */
+export const kIntraZoneDelayMs = 0.2;
+/** One-way network delay between a client and its daemon. */
+export const kClientDelayMs = 1;
 
-/** Tengerline: three zones; hazards is the narrow service at the end of every chain. */
+/** Three zones; `hazards` is the bottleneck at the end of every chain. */
 export const kTengerline: Deployment = {
   name: 'tengerline',
   zones: ['bayanzurkh', 'khan-uul', 'songino'],
-  zoneMs: 1.5,
+  interZoneDelayMs: 1.5,
   services: [
     { name: 'archive', targets: 4, slots: 150, workMs: 40 },
     { name: 'defects', targets: 3, slots: 200, workMs: 40 },
@@ -63,11 +64,11 @@
   ],
 };
 
-/** The shelter network: four zones; locuri is the narrow service. */
+/** Four zones; `locuri` is the bottleneck at the end of every chain. */
 export const kShelters: Deployment = {
   name: 'shelters',
   zones: ['hala-1', 'hala-2', 'hala-3', 'hala-4'],
-  zoneMs: 1,
+  interZoneDelayMs: 1,
   services: [
     { name: 'arhiva', targets: 4, slots: 45, workMs: 25 },
     { name: 'evidenta', targets: 4, slots: 45, workMs: 25 },
@@ -82,26 +83,26 @@
   ],
 };
 
-const kDepth = 28;
+const kDeepChainLength = 28;
 
-/** A chain of 28 calls over 26 services, each with two targets. */
+/** A chain of 28 calls over 26 services with two targets each. */
 export const kDeepChain: Deployment = {
   name: 'deep',
   zones: ['one', 'two'],
-  zoneMs: 1.5,
+  interZoneDelayMs: 1.5,
   services: Array.from({ length: 26 }, (_, i) => ({ name: `s${i}`, targets: 2, slots: 200, workMs: 5 })),
   loads: [
     {
       name: 'deep-read',
       importance: 'normal',
       idempotent: true,
-      chain: Array.from({ length: kDepth }, (_, i) => `s${i % 26}`),
+      chain: Array.from({ length: kDeepChainLength }, (_, i) => `s${i % 26}`),
       perSecond: 60,
     },
   ],
 };
 
-/** Service with the fewest slots, at the end of the chains. */
-export function narrowService(deployment: Deployment): ServicePlan {
+/** The service with the fewest slots. */
+export function bottleneckService(deployment: Deployment): ServicePlan {
   return deployment.services.reduce((a, b) => (b.targets * b.slots <= a.targets * a.slots ? b : a));
 }
--- a/bench/policy/fakeTarget.ts
+++ b/bench/policy/fakeTarget.ts
@@ -3,45 +3,45 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** A target in virtual time: slots, a queue without bound of its own, work, and one onward call. */
+/** Simulates a target in virtual time, with slots and an unbounded queue. A call works for a time and makes at most one downstream call. */
 
 import type { Random } from '@gentiandrum/core';
 import type { Scheduled, VirtualTime } from './virtualTime.js';
 
-/** Cancels what was begun. */
+/** Cancels the operation that returned it. */
 export type Cancel = () => void;
 
-/** A call as targets see it. */
+/** A call that a target serves. */
 export interface TargetCall {
-  /** Makes the onward call, if the chain goes on; calls back whether it went well. */
-  onward: ((done: (ok: boolean) => void) => Cancel) | undefined;
-  /** Called when the work starts. */
-  started: () => void;
-  /** Called once with the end, unless the call was cancelled. */
-  done: (end: 'ok' | 'failed' | 'dead') => void;
+  /** Makes the downstream call and reports whether it succeeded; undefined at the end of the chain. */
+  callDownstream: ((done: (ok: boolean) => void) => Cancel) | undefined;
+  /** Called when the call gets a slot. */
+  onStarted: () => void;
+  /** Called once with the result, unless the call is cancelled. */
+  onDone: (result: 'ok' | 'failed' | 'dead') => void;
 }
 
-interface Work {
+interface ActiveCall {
   call: TargetCall;
   phase: 'queued' | 'running' | 'ended';
   timer: Scheduled | undefined;
-  cancelOnward: Cancel | undefined;
+  cancelDownstream: Cancel | undefined;
 }
 
-const kColdMs = 5_000;
-const kColdFactor = 3;
+const kWarmupMs = 5_000;
+const kColdSlowdown = 3;
 
-/** A target. */
+/** A simulated target. */
 export class FakeTarget {
-  dead = false;
+  crashed = false;
   slowFactor = 1;
   failureRate = 0;
-  /** What its load report says instead of the truth. */
-  lie: ((truth: number) => number) | undefined;
+  /** Computes a false load to report from the actual load; undefined when the target reports the actual load. */
+  reportedLoadOverride: ((actualLoad: number) => number) | undefined;
   private _running = 0;
-  private readonly _queue: Work[] = [];
-  private readonly _open = new Set<Work>();
-  private _bornAt = -Infinity;
+  private readonly _queue: ActiveCall[] = [];
+  private readonly _active = new Set<ActiveCall>();
+  private _restartedAt = -Infinity;
 
   constructor(
     private readonly _time: VirtualTime,
@@ -50,85 +50,85 @@
     private readonly _workMs: number,
   ) {}
 
-  /** Load that the target reports, in calls per slot. */
-  get reported(): number {
-    const truth = (this._running + this._queue.length) / this._slots;
-    return this.lie ? this.lie(truth) : truth;
+  /** Reported load, in running and queued calls per slot. */
+  get reportedLoad(): number {
+    const actualLoad = (this._running + this._queue.length) / this._slots;
+    return this.reportedLoadOverride ? this.reportedLoadOverride(actualLoad) : actualLoad;
   }
 
-  /** Dies: everything that it has is lost. */
-  die(): void {
-    this.dead = true;
-    for (const work of [...this._open]) {
-      this._end(work);
-      work.call.done('dead');
+  /** Crashes; all running and queued calls are lost. */
+  crash(): void {
+    this.crashed = true;
+    for (const activeCall of [...this._active]) {
+      this._remove(activeCall);
+      activeCall.call.onDone('dead');
     }
   }
 
-  /** Is replaced by a cold one. */
+  /** Restarts cold: calls take longer until the warm-up has passed. */
   restart(): void {
-    this.dead = false;
-    this._bornAt = this._time.now;
+    this.crashed = false;
+    this._restartedAt = this._time.now;
   }
 
-  /** Takes a call. It accepts cancellation: the slot is free at once. */
+  /** Serves or queues a call. Cancelling the call releases its slot at once. */
   serve(call: TargetCall): Cancel {
-    const work: Work = { call, phase: 'queued', timer: undefined, cancelOnward: undefined };
-    this._open.add(work);
+    const activeCall: ActiveCall = { call, phase: 'queued', timer: undefined, cancelDownstream: undefined };
+    this._active.add(activeCall);
     if (this._running < this._slots) {
-      this._start(work);
+      this._start(activeCall);
     } else {
-      this._queue.push(work);
+      this._queue.push(activeCall);
     }
     return () => {
-      this._end(work);
+      this._remove(activeCall);
     };
   }
 
-  private _start(work: Work): void {
+  private _start(activeCall: ActiveCall): void {
     this._running++;
-    work.phase = 'running';
-    work.call.started();
-    const cold = this._time.now - this._bornAt < kColdMs ? kColdFactor : 1;
+    activeCall.phase = 'running';
+    activeCall.call.onStarted();
+    const coldSlowdown = this._time.now - this._restartedAt < kWarmupMs ? kColdSlowdown : 1;
     const spread = 0.5 + this._random();
-    work.timer = this._time.after(this._workMs * spread * cold * this.slowFactor, () => {
-      this._goOnward(work);
+    activeCall.timer = this._time.schedule(this._workMs * spread * coldSlowdown * this.slowFactor, () => {
+      this._callDownstream(activeCall);
     });
   }
 
-  private _goOnward(work: Work): void {
+  private _callDownstream(activeCall: ActiveCall): void {
     if (this._random() < this.failureRate) {
-      this._finish(work, 'failed');
-    } else if (work.call.onward) {
-      work.cancelOnward = work.call.onward((ok) => {
-        this._finish(work, ok ? 'ok' : 'failed');
+      this._finish(activeCall, 'failed');
+    } else if (activeCall.call.callDownstream) {
+      activeCall.cancelDownstream = activeCall.call.callDownstream((ok) => {
+        this._finish(activeCall, ok ? 'ok' : 'failed');
       });
     } else {
-      this._finish(work, 'ok');
+      this._finish(activeCall, 'ok');
     }
   }
 
-  private _finish(work: Work, end: 'ok' | 'failed'): void {
-    if (work.phase !== 'running') {
+  private _finish(activeCall: ActiveCall, result: 'ok' | 'failed'): void {
+    if (activeCall.phase !== 'running') {
       return;
     }
-    work.cancelOnward = undefined;
-    this._end(work);
-    work.call.done(end);
+    activeCall.cancelDownstream = undefined;
+    this._remove(activeCall);
+    activeCall.call.onDone(result);
   }
 
-  private _end(work: Work): void {
-    const ran = work.phase === 'running';
-    if (work.phase === 'ended') {
+  private _remove(activeCall: ActiveCall): void {
+    const wasRunning = activeCall.phase === 'running';
+    if (activeCall.phase === 'ended') {
       return;
     }
-    work.phase = 'ended';
-    this._open.delete(work);
-    if (work.timer) {
-      this._time.cancel(work.timer);
+    activeCall.phase = 'ended';
+    this._active.delete(activeCall);
+    if (activeCall.timer) {
+      this._time.cancel(activeCall.timer);
     }
-    work.cancelOnward?.();
-    if (ran) {
+    activeCall.cancelDownstream?.();
+    if (wasRunning) {
       this._running--;
       this._startNext();
     }
--- a/bench/policy/ideal.ts
+++ b/bench/policy/ideal.ts
@@ -4,76 +4,75 @@
  */
 
 /**
- * What the capacity allows: the whole requests a second that a perfect layer would serve during the trigger.
+ * Computes the ideal goodput: the root requests per second that the capacity allows during the trigger.
  *
- * Each target gives its slots, a second each. A call of a chain holds a slot for its own work and for all work and network
- * behind it. Demand is served in order of importance until a service on the chain is full. While a zone is cut off, each
- * side serves what enters there and finds all its services there.
+ * A call holds a slot for its own work and for all work and network delay downstream of it. Demand is served in order of importance
+ * until a service on the chain has no capacity left. While a zone is isolated, each partition serves its share of the requests alone.
  */
 
 import { importanceIndex } from '@gentiandrum/core';
-import { kNearMs, type LoadPlan } from './deployment.js';
+import { kIntraZoneDelayMs, type LoadPlan } from './deployment.js';
 import type { Scenario } from './scenarios.js';
 import type { Host, World } from './world.js';
 
-const kSecondMs = 1_000;
+const kMsPerSecond = 1_000;
 
-/** Ideal whole requests a second by load. */
+/** Ideal rate of successful root requests by name of the load. */
 export function idealPerSecond(world: World, scenario: Scenario): Map<string, number> {
   const totals = new Map<string, number>();
-  for (const side of sides(world)) {
-    const share = side.length / world.hosts.length;
-    for (const [load, rate] of idealOfSide(side, share, scenario)) {
+  for (const partition of partitions(world)) {
+    const share = partition.length / world.hosts.length;
+    for (const [load, rate] of idealOfPartition(partition, share, scenario)) {
       totals.set(load, (totals.get(load) ?? 0) + rate);
     }
   }
   return totals;
 }
 
-function sides(world: World): Host[][] {
+function partitions(world: World): Host[][] {
   const [first] = world.hosts;
   if (!first) {
     return [];
   }
   const zones = [...new Set(world.hosts.map((host) => host.zone))];
-  const alone = zones.filter((zone) =>
+  const isolatedZones = zones.filter((zone) =>
     world.hosts.some(
-      (host) => host.zone === zone && world.hosts.every((other) => other.zone === zone || world.delay(host, other) === undefined),
+      (host) => host.zone === zone && world.hosts.every((other) => other.zone === zone || world.delayMs(host, other) === undefined),
     ),
   );
-  const cut = alone.length > 0 && alone.length < zones.length ? alone : [];
-  const together = world.hosts.filter((host) => !cut.includes(host.zone));
-  return [...cut.map((zone) => world.hosts.filter((host) => host.zone === zone)), together];
+  const separateZones = isolatedZones.length > 0 && isolatedZones.length < zones.length ? isolatedZones : [];
+  const connectedHosts = world.hosts.filter((host) => !separateZones.includes(host.zone));
+  return [...separateZones.map((zone) => world.hosts.filter((host) => host.zone === zone)), connectedHosts];
 }
 
-function idealOfSide(side: Host[], share: number, scenario: Scenario): Map<string, number> {
-  const { deployment, surge, workFactor } = scenario;
-  const workOf = (service: string): number => {
+function idealOfPartition(partition: Host[], share: number, scenario: Scenario): Map<string, number> {
+  const { deployment, loadFactor, workFactor } = scenario;
+  const workMsOf = (service: string): number => {
     const plan = deployment.services.find(({ name }) => name === service);
-    const factors = side.filter((host) => host.service === service).map((host) => workFactor?.(host) ?? 1);
+    const factors = partition.filter((host) => host.service === service).map((host) => workFactor?.(host) ?? 1);
     return (plan?.workMs ?? 0) * (factors[0] ?? 1);
   };
-  const room = new Map(deployment.services.map(({ name }) => [name, slotsOf(side, name) * kSecondMs]));
+  const capacity = new Map(deployment.services.map(({ name }) => [name, slotsOf(partition, name) * kMsPerSecond]));
   const loads = [...deployment.loads].sort((a, b) => importanceIndex(a.importance) - importanceIndex(b.importance));
-  return new Map(loads.map((load) => [load.name, take(load, load.perSecond * surge * share, room, workOf)]));
+  return new Map(loads.map((load) => [load.name, allocate(load, load.perSecond * loadFactor * share, capacity, workMsOf)]));
 }
 
-function slotsOf(side: Host[], service: string): number {
-  return side.filter((host) => host.service === service && !host.dead).reduce((sum, host) => sum + host.slots, 0);
+function slotsOf(partition: Host[], service: string): number {
+  return partition.filter((host) => host.service === service && !host.crashed).reduce((sum, host) => sum + host.slots, 0);
 }
 
-/** Serves as much of a load as fits, and takes the slots that it holds. */
-function take(load: LoadPlan, wanted: number, room: Map<string, number>, workOf: (service: string) => number): number {
-  const holds = new Map<string, number>();
-  let behindMs = 0;
+/** Returns the rate at which a load can be served, and subtracts the slot time that it uses from `capacity`. */
+function allocate(load: LoadPlan, requestedRate: number, capacity: Map<string, number>, workMsOf: (service: string) => number): number {
+  const slotMsByService = new Map<string, number>();
+  let downstreamMs = 0;
   for (const service of [...load.chain].reverse()) {
-    behindMs += workOf(service) + (behindMs > 0 ? 2 * kNearMs : 0);
-    holds.set(service, (holds.get(service) ?? 0) + behindMs);
+    downstreamMs += workMsOf(service) + (downstreamMs > 0 ? 2 * kIntraZoneDelayMs : 0);
+    slotMsByService.set(service, (slotMsByService.get(service) ?? 0) + downstreamMs);
   }
-  const fits = [...holds].map(([service, ms]) => (room.get(service) ?? 0) / ms);
-  const rate = Math.min(wanted, ...fits);
-  for (const [service, ms] of holds) {
-    room.set(service, (room.get(service) ?? 0) - rate * ms);
+  const feasibleRates = [...slotMsByService].map(([service, ms]) => (capacity.get(service) ?? 0) / ms);
+  const rate = Math.min(requestedRate, ...feasibleRates);
+  for (const [service, ms] of slotMsByService) {
+    capacity.set(service, (capacity.get(service) ?? 0) - rate * ms);
   }
   return rate;
 }
--- a/examples/demo.ts
+++ b/examples/demo.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * The demo: a small deployment of real processes on the loopback, a configuration change, calls of every class through a
- * chain of three services, a surge, and a planned stop. Prints what happened; exits with 0 only if every promise held.
+ * Runs a small deployment of real processes on the loopback: a configuration change, calls through a chain of three services, a log
+ * outage, a surge, a drain and a planned stop. Checks the guarantees of the layer, and exits with 0 only if all checks pass.
  */
 
 import { readFileSync } from 'node:fs';
@@ -15,56 +15,56 @@
 
 const kZones = ['bayanzurkh', 'khan-uul', 'songino'];
 const kConfig = fileURLToPath(new URL('../../examples/demo.yaml', import.meta.url));
-const kSurge = { calls: 600, atOnce: 120 };
-const kHolds = 20;
+const kSurgeLoad = { calls: 600, concurrency: 120 };
+const kHoldRequests = 20;
 const kStopCalls = 24;
 
-interface Finding {
-  promise: string;
-  held: boolean;
-  seen: string;
+interface CheckResult {
+  guarantee: string;
+  passed: boolean;
+  detail: string;
 }
 
-interface Answer {
+interface CallResponse {
   status: number;
   outcome: string | null;
   text: string;
   retryAfter: string | null;
 }
 
-/** The demo's deployment, and what it has found. */
+/** Runs the steps of the demo and collects the results of its checks. */
 class Demo {
-  private readonly _findings: Finding[] = [];
+  private readonly _results: CheckResult[] = [];
   private _calls = 0;
 
   constructor(private readonly _fleet: Fleet) {}
 
   async run(): Promise<boolean> {
     await this._configure();
-    await this._chain();
-    await this._holds();
-    await this._outage();
-    await this._surge();
-    await this._drain();
-    await this._stop();
-    say('\nWhat was promised, and what was seen:');
-    for (const { promise, held, seen } of this._findings) {
-      say(`  ${held ? 'held ' : 'BROKE'}  ${promise}: ${seen}`);
+    await this._callChains();
+    await this._placeHolds();
+    await this._breakLog();
+    await this._overload();
+    await this._drainTarget();
+    await this._stopDaemon();
+    print('\nGuarantees checked:');
+    for (const { guarantee, passed, detail } of this._results) {
+      print(`  ${passed ? 'passed' : 'FAILED'}  ${guarantee}: ${detail}`);
     }
-    return this._findings.every(({ held }) => held);
+    return this._results.every(({ passed }) => passed);
   }
 
   private async _configure(): Promise<void> {
-    say('Submitting the configuration against version 0, and a racing patch against the same version.');
+    print('Submitting the configuration against version 0, then a conflicting patch against the same version.');
     const first = await this._fleet.runCli(
       ['apply', 'FILE', '--base', '0', '--wait', '--author', 'dispatcher'],
       parse(readFileSync(kConfig, 'utf8')),
     );
-    say(indent(first.out + first.err));
+    print(indent(first.out + first.err));
     const second = await this._fleet.runCli(['apply', 'FILE', '--base', '0', '--author', 'other'], { retryRatio: 0.2 });
-    say(indent(second.out + second.err));
-    this._find(
-      'an accepted configuration is in force everywhere, and one of two racing patches wins',
+    print(indent(second.out + second.err));
+    this._recordCheck(
+      'an accepted configuration takes effect on every daemon, and only one of two patches against the same version wins',
       first.code === 0 && second.code === 3,
       first.out.split('\n')[0] ?? '',
     );
@@ -73,131 +73,137 @@
       this._fleet.untilTargets('defects', 3),
       this._fleet.untilTargets('hazards', 3),
     ]);
-    say(indent((await this._fleet.runCli(['status'])).out));
+    print(indent((await this._fleet.runCli(['status'])).out));
   }
 
-  private async _chain(): Promise<void> {
-    say('Calling each class; span histories go archive, defects, hazards.');
+  private async _callChains(): Promise<void> {
+    print('Calling three classes; a span history is a chain of calls to archive, defects and hazards.');
     const history = await this._call('GET', '/archive/spans/7/history', 'span');
     const lookup = await this._call('GET', '/hazards/lookup/7', 'lookup');
     const report = await this._call('GET', '/archive/reports/7', 'report');
-    say(indent([history, lookup, report].map(({ status, text }) => `${status} ${text}`).join('\n')));
-    const whole =
+    print(indent([history, lookup, report].map(({ status, text }) => `${status} ${text}`).join('\n')));
+    const complete =
       history.text === 'archive GET /spans/7/history' &&
       lookup.text === 'hazards GET /lookup/7' &&
       report.text === 'archive GET /reports/7';
-    this._find('whole answers reach the callers who asked', whole, 'three classes, each its own answer');
-    this._find('a chain runs each of its calls once when nothing fails', (await this._fleet.totalRuns('span')) === 3, '3 runs of 3 calls');
+    this._recordCheck('each caller receives the complete response to its own request', complete, 'one response for each of three classes');
+    this._recordCheck(
+      'each call of a chain runs once when nothing fails',
+      (await this._fleet.totalRuns('span')) === 3,
+      '3 runs of 3 calls',
+    );
   }
 
-  private async _holds(): Promise<void> {
-    say(`Placing ${kHolds} outage holds, each three times at three daemons at once.`);
+  private async _placeHolds(): Promise<void> {
+    print(`Placing ${kHoldRequests} outage holds, each sent to three daemons concurrently.`);
     const answers = await Promise.all(
-      Array.from({ length: kHolds }, (_, i) =>
+      Array.from({ length: kHoldRequests }, (_, i) =>
         Promise.all(
           [0, 1, 2].map((daemon) => this._call('POST', '/defects/holds', `hold-${i}`, daemon, { 'idempotency-key': `hold-${i}` })),
         ),
       ),
     );
-    const runs = await Promise.all(Array.from({ length: kHolds }, (_, i) => this._runsAtDefects(`hold-${i}`)));
+    const runs = await Promise.all(Array.from({ length: kHoldRequests }, (_, i) => this._runsAtDefects(`hold-${i}`)));
     const answered = answers.flat().filter(({ status }) => status === 200).length;
-    this._find(
+    this._recordCheck(
       'a non-idempotent hold runs at most once',
       runs.every((count) => count === 1),
-      `${answered} of ${kHolds * 3} answered, ${runs.reduce((a, b) => a + b, 0)} runs`,
+      `${answered} of ${kHoldRequests * 3} answered, ${runs.reduce((a, b) => a + b, 0)} runs`,
     );
   }
 
-  private async _outage(): Promise<void> {
-    say("Taking the platform's log down for a hold and a read.");
+  private async _breakLog(): Promise<void> {
+    print('Sending a hold and a read during an outage of the log.');
     await this._fleet.setLogFaults({ down: true });
     const hold = await this._call('POST', '/defects/holds', 'hold-down', 0, { 'idempotency-key': 'hold-down' });
     const read = await this._call('GET', '/hazards/lookup/8', 'lookup-down');
     await this._fleet.setLogFaults({});
     const runs = await this._runsAtDefects('hold-down');
-    this._find(
-      '"not run" means not run',
+    this._recordCheck(
+      'a request with outcome not_run did not run',
       hold.outcome === 'not_run' && runs === 0,
-      `hold answered ${hold.status} ${hold.outcome ?? ''}, come back in ${hold.retryAfter ?? '?'} s, ${runs} runs`,
+      `hold got status ${hold.status} ${hold.outcome ?? ''}, retry after ${hold.retryAfter ?? '?'} s, ${runs} runs`,
     );
-    this._find('a log outage leaves reads alone', read.status === 200, `read answered ${read.status}`);
+    this._recordCheck('a log outage does not affect reads', read.status === 200, `read got status ${read.status}`);
   }
 
-  private async _surge(): Promise<void> {
-    say(`Surge: ${kSurge.calls} calls, ${kSurge.atOnce} at once; one in six is a hazard lookup.`);
+  private async _overload(): Promise<void> {
+    print(`Surge: ${kSurgeLoad.calls} calls, ${kSurgeLoad.concurrency} concurrently; one in six is a hazard lookup.`);
     const counts = { lookup: { good: 0, all: 0 }, report: { good: 0, all: 0 } };
-    const oneByOne = async (start: number): Promise<void> => {
-      for (let i = start; i < kSurge.calls; i += kSurge.atOnce) {
+    const sendSequentially = async (start: number): Promise<void> => {
+      for (let i = start; i < kSurgeLoad.calls; i += kSurgeLoad.concurrency) {
         const kind = i % 6 === 0 ? 'lookup' : 'report';
         const { status } = await this._call('GET', kind === 'lookup' ? `/hazards/lookup/${i}` : `/archive/reports/${i}`, 'surge', i % 9);
         counts[kind].all++;
         counts[kind].good += status === 200 ? 1 : 0;
       }
     };
-    await Promise.all(Array.from({ length: kSurge.atOnce }, (_, i) => oneByOne(i)));
+    await Promise.all(Array.from({ length: kSurgeLoad.concurrency }, (_, i) => sendSequentially(i)));
     const { lookup, report } = counts;
-    this._find(
+    this._recordCheck(
       'hazard lookups are shed last',
       lookup.good / lookup.all >= report.good / report.all,
       `${lookup.good} of ${lookup.all} lookups, ${report.good} of ${report.all} reports answered`,
     );
   }
 
-  private async _drain(): Promise<void> {
-    say('Draining one target of hazards.');
+  private async _drainTarget(): Promise<void> {
+    print('Draining one target of hazards.');
     const drained = await this._fleet.runCli(['drain', 'hazards-1-target', '--wait']);
     const before = Object.values(await this._fleet.runsOf('hazards-1')).reduce((a, b) => a + b, 0);
     const answers = await Promise.all(Array.from({ length: 60 }, (_, i) => this._call('GET', `/hazards/lookup/${i}`, 'drain', i % 9)));
     const after = Object.values(await this._fleet.runsOf('hazards-1')).reduce((a, b) => a + b, 0);
     const good = answers.filter(({ status }) => status === 200).length;
-    this._find(
-      'a leaving target receives no new work',
+    this._recordCheck(
+      'a draining target receives no new calls',
       drained.code === 0 && after === before && good === 60,
-      `${good} of 60 answered elsewhere, ${after - before} at the leaving one`,
+      `${good} of 60 answered by other targets, ${after - before} by the draining target`,
     );
   }
 
-  private async _stop(): Promise<void> {
+  private async _stopDaemon(): Promise<void> {
     await this._fleet.runCli(['drain', 'hazards-1-target', '--undo', '--wait']);
-    say('Stopping one daemon of archive by SIGTERM under load.');
-    const running = Array.from({ length: kStopCalls }, (_, i) => this._call('GET', `/archive/spans/${i}/history`, 'stop', 3 + (i % 6)));
+    print('Stopping one daemon of archive with SIGTERM under load.');
+    const pendingCalls = Array.from({ length: kStopCalls }, (_, i) =>
+      this._call('GET', `/archive/spans/${i}/history`, 'stop', 3 + (i % 6)),
+    );
     const host = this._fleet.host('archive-1');
     host.daemon.kill('SIGTERM');
-    const [code, answers] = await Promise.all([exitOf(host.daemon), Promise.all(running)]);
+    const [code, answers] = await Promise.all([exitOf(host.daemon), Promise.all(pendingCalls)]);
     const good = answers.filter(({ status }) => status === 200).length;
-    this._find(
-      'a planned stop cuts nothing in flight',
+    this._recordCheck(
+      'calls in flight complete during a planned stop',
       code === 0 && good === kStopCalls,
       `exit code ${code}, ${good} of ${kStopCalls} answered`,
     );
   }
 
-  /** Calls through one of the daemons; the path names the service first. */
+  /** Sends a call through one of the daemons; the first segment of the path is the service. */
   private async _call(
     method: string,
     path: string,
     tag: string,
     daemon = this._calls++ % 9,
     headers: Record<string, string> = {},
-  ): Promise<Answer> {
+  ): Promise<CallResponse> {
     const host = [...this._fleet.hosts.values()][daemon];
     const res = await fetch(`http://${host?.address ?? ''}${path}`, { method, headers: { 'x-call': tag, ...headers } });
     const { status } = res;
     return { status, outcome: res.headers.get('gentiandrum-outcome'), retryAfter: res.headers.get('retry-after'), text: await res.text() };
   }
 
-  /** Runs of a call at the targets of defects; its onward call to hazards carries the same tag. */
+  /** Counts the runs of a call at the targets of defects only, as its downstream call to hazards has the same tag. */
   private async _runsAtDefects(call: string): Promise<number> {
     const counts = await Promise.all([1, 2, 3].map(async (i) => (await this._fleet.runsOf(`defects-${i}`))[call] ?? 0));
     return counts.reduce((a, b) => a + b, 0);
   }
 
-  private _find(promise: string, held: boolean, seen: string): void {
-    this._findings.push({ promise, held, seen });
+  private _recordCheck(guarantee: string, passed: boolean, detail: string): void {
+    this._results.push({ guarantee, passed, detail });
   }
 }
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
@@ -209,7 +215,7 @@
     .join('\n');
 }
 
-function plans(): Parameters<typeof Fleet.start>[0] {
+function hostPlans(): Parameters<typeof Fleet.start>[0] {
   const onward = (service: string, path: string): { onward: { service: string; method: string; path: string }[] } => ({
     onward: [{ service, method: 'GET', path }],
   });
@@ -222,13 +228,13 @@
   ];
 }
 
-say('Starting the log stand-in, and nine hosts in three availability zones.');
-const fleet = await Fleet.start(plans());
-let held = false;
+print('Starting the log stand-in and nine hosts in three availability zones.');
+const fleet = await Fleet.start(hostPlans());
+let passed = false;
 try {
-  held = await new Demo(fleet).run();
+  passed = await new Demo(fleet).run();
 } finally {
   fleet.stop();
 }
-say(held ? '\nEvery promise held.' : '\nA promise was broken.');
-process.exit(held ? 0 : 1);
+print(passed ? '\nAll checks passed.' : '\nA check failed.');
+process.exit(passed ? 0 : 1);
--- a/utils/licenseHeader.mjs
+++ b/utils/licenseHeader.mjs
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The header that every source file begins with. */
-export const kHeader = `/**
+/** License header at the start of every source file. */
+export const kLicenseHeader = `/**
  * Copyright (c) The gentiandrum authors.
  * SPDX-License-Identifier: Apache-2.0
  */
