--- a/packages/daemon/src/app/callSession.ts
+++ b/packages/daemon/src/app/callSession.ts
@@ -126,7 +126,12 @@
    * Handles a non-idempotent offer whose connection closed without a response. If the daemon left as planned and its last record does not
    * list the attempt, it never accepted the offer, so another target may run it. The proof does not count after the deadline.
    */
-  private async _onOfferLost(attempt: string, to: Candidate, end: Extract<ExchangeResult, { kind: 'lost' }>, deadline: number): Promise<void> {
+  private async _onOfferLost(
+    attempt: string,
+    to: Candidate,
+    end: Extract<ExchangeResult, { kind: 'lost' }>,
+    deadline: number,
+  ): Promise<void> {
     const neverAccepted = await this._deps.neverAccepted(to, attempt);
     const written = !neverAccepted || monotonicMs() >= deadline;
     this._push({ kind: 'ended', attempt, result: { ...end, written } });
