--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -70,7 +70,7 @@
 export * from './util/clock.js';
 export * from './util/hashText.js';
 export * from './util/random.js';
-export * from './util/rendezvous.js';
+export * from './util/rendezvousRank.js';
 export * from './util/results.js';
 export * from './util/suspensionDetector.js';
 export * from './workspaces/credentials.js';
--- a/packages/core/src/membership/memberView.ts
+++ b/packages/core/src/membership/memberView.ts
@@ -10,7 +10,7 @@
  */
 
 import type { Random } from '../util/random.js';
-import { RendezvousRank } from '../util/rendezvous.js';
+import { RendezvousRank } from '../util/rendezvousRank.js';
 
 export type MemberState = 'alive' | 'suspect' | 'dead' | 'left';
 export type TargetState = 'absent' | 'serving' | 'leaving';
--- a/packages/core/src/membership/readerRank.ts
+++ b/packages/core/src/membership/readerRank.ts
@@ -9,7 +9,7 @@
  * calls, and without a reader the members poll the log themselves.
  */
 
-import { RendezvousRank } from '../util/rendezvous.js';
+import { RendezvousRank } from '../util/rendezvousRank.js';
 
 /** Readers of a zone; the second one is a hot standby. */
 const kReadersPerZone = 2;
--- a/packages/core/src/quarantine/probeTarget.ts
+++ b/packages/core/src/quarantine/probeTarget.ts
@@ -5,7 +5,7 @@
 
 /** Decides on which target, and when, a fingerprint is probed. */
 
-import { RendezvousRank } from '../util/rendezvous.js';
+import { RendezvousRank } from '../util/rendezvousRank.js';
 
 /** Time since the last update after which a probe runs even with few targets left, as those may not come back, in milliseconds. */
 const kRecoveryMs = 5_000;
--- a/packages/core/src/routing/placement.ts
+++ b/packages/core/src/routing/placement.ts
@@ -11,7 +11,7 @@
 
 import type { TargetRecord } from '../membership/targetRecord.js';
 import { monotonicMs } from '../util/clock.js';
-import { RendezvousRank } from '../util/rendezvous.js';
+import { RendezvousRank } from '../util/rendezvousRank.js';
 import { DecayingAverages } from './decayingAverages.js';
 import { HostStats, kChargeHalfLifeMs, kMaxChainChargeMs, type PlacedCallResult } from './hostStats.js';
 import { MovingAverages } from './movingAverages.js';
--- a/packages/core/src/routing/targetSubset.ts
+++ b/packages/core/src/routing/targetSubset.ts
@@ -9,7 +9,7 @@
  */
 
 import type { TargetRecord } from '../membership/targetRecord.js';
-import type { RendezvousRank } from '../util/rendezvous.js';
+import type { RendezvousRank } from '../util/rendezvousRank.js';
 
 /** Primary targets besides the one on the local host. */
 const kSubsetSize = 8;
