--- a/packages/core/src/routing/placement.ts
+++ b/packages/core/src/routing/placement.ts
@@ -218,11 +218,11 @@
       return [...fallback];
     }
     const firstOtherZone = fallback.findIndex(({ zone }) => zone !== this._zone);
-    const ownZoneCount = firstOtherZone < 0 ? fallback.length : firstOtherZone;
-    const ownZoneDraws = Math.min(ownZoneCount, kFallbackSampleSize / 2);
+    const localZoneCount = firstOtherZone < 0 ? fallback.length : firstOtherZone;
+    const localZoneDraws = Math.min(localZoneCount, kFallbackSampleSize / 2);
     return [
-      ...this._drawRun(fallback, 0, ownZoneCount, ownZoneDraws),
-      ...this._drawRun(fallback, 0, fallback.length, kFallbackSampleSize - ownZoneDraws),
+      ...this._drawRun(fallback, 0, localZoneCount, localZoneDraws),
+      ...this._drawRun(fallback, 0, fallback.length, kFallbackSampleSize - localZoneDraws),
     ];
   }
 
@@ -273,9 +273,9 @@
   /** Mean call duration, weighted by its share of the latency target, plus charges for load and failures. */
   private _timeScore(stats: HostStats, { name: route, latencyTargetMs }: PlacedRoute, load: number, now: number): number {
     const mean = stats.meanMs(route, this._usualMs(route), now);
-    const weighed = mean * Math.min(1, mean / latencyTargetMs);
+    const weightedMean = mean * Math.min(1, mean / latencyTargetMs);
     const failures = Math.max(0, stats.failureRate(now) - kToleratedFailureRate);
-    return weighed + mean * (load * kLoadTieBreakFactor + failures * kFailureChargeFactor);
+    return weightedMean + mean * (load * kLoadTieBreakFactor + failures * kFailureChargeFactor);
   }
 
   private _statsOf(host: string): HostStats {
--- a/packages/core/src/routing/targetSubset.ts
+++ b/packages/core/src/routing/targetSubset.ts
@@ -14,7 +14,7 @@
 /** Primary targets besides the one on the local host. */
 const kSubsetSize = 8;
 /** Largest number of targets at which all are primary. */
-const kMaxWholeSize = 12;
+const kMaxAllPrimarySize = 12;
 
 /** Targets of a service, divided for one ingress. */
 export interface TargetSubset {
@@ -26,7 +26,7 @@
 
 /** Divides the candidates of a service for the ingress on `host`, by the rank that they have for it. */
 export function subsetFor(host: string, zone: string, candidates: readonly TargetRecord[], rank: RendezvousRank): TargetSubset {
-  if (candidates.length <= kMaxWholeSize) {
+  if (candidates.length <= kMaxAllPrimarySize) {
     return { primary: candidates, fallback: [] };
   }
   const ranked = rank.order(candidates);
--- a/tests/routing/deadTargets.spec.ts
+++ b/tests/routing/deadTargets.spec.ts
@@ -98,8 +98,8 @@
       const sentAt = this._time.now;
       this.counts.offers++;
       placement.recordSent(host);
-      this._offer(Number(host.slice(1)), (end) => {
-        const unsuccessful = foundNoTarget(end);
+      this._offer(Number(host.slice(1)), (result) => {
+        const unsuccessful = foundNoTarget(result);
         this.counts.unsuccessful += unsuccessful ? 1 : 0;
         const gate = this._gates[Number(host.slice(1))];
         const load =
@@ -109,10 +109,10 @@
         }
         placement.recordResult(host, kRoute.name, {
           load,
-          tookMs: end.kind === 'answered' ? this._time.now - sentAt : undefined,
-          failed: end.kind === 'lost',
+          tookMs: result.kind === 'answered' ? this._time.now - sentAt : undefined,
+          failed: result.kind === 'lost',
         });
-        advance(procedure.next(end));
+        advance(procedure.next(result));
       });
     };
     advance(procedure.next());
@@ -144,15 +144,15 @@
     });
   }
 
-  private _offer(at: number, done: (end: CallResult) => void): void {
+  private _offer(at: number, done: (result: CallResult) => void): void {
     const gate = this._gates[at];
     if (!gate) {
       return;
     }
     const id = this._nextId++;
-    const reply = (end: CallResult): void => {
+    const reply = (result: CallResult): void => {
       this._time.after(kHopMs, () => {
-        done(end);
+        done(result);
       });
     };
     const refuse = (reason: 'overloaded' | 'unreachable'): void => {
@@ -171,7 +171,7 @@
     });
   }
 
-  private _run(at: number, id: number, reply: (end: CallResult) => void): void {
+  private _run(at: number, id: number, reply: (result: CallResult) => void): void {
     const gate = this._gates[at];
     if (this.dead.has(at)) {
       this._recordEvidence(at, 'refused');
@@ -225,8 +225,8 @@
     let before: FleetCounts = { ...fleet.counts };
     for (let now = kPropagationMs + 2; now < untilMs; now++) {
       change?.(fleet, now);
-      for (let due = perMs + random() - 0.5; due > 0; due--) {
-        if (due >= 1 || random() < due) {
+      for (let pending = perMs + random() - 0.5; pending > 0; pending--) {
+        if (pending >= 1 || random() < pending) {
           fleet.request();
         }
       }
--- a/tests/routing/placement.spec.ts
+++ b/tests/routing/placement.spec.ts
@@ -26,7 +26,7 @@
   }
 }
 
-function recordAnswer(placement: Placement, host: string, route: string, tookMs: number): void {
+function recordResponse(placement: Placement, host: string, route: string, tookMs: number): void {
   placement.recordSent(host);
   placement.recordResult(host, route, { tookMs, failed: false });
 }
@@ -35,11 +35,11 @@
   itSerial('should stay in its zone unless the latency there exceeds the cost of another zone', (t) => {
     withPlacement((placement) => {
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
-      recordAnswer(placement, 'near', 'search', 60);
-      recordAnswer(placement, 'far', 'search', 40);
+      recordResponse(placement, 'near', 'search', 60);
+      recordResponse(placement, 'far', 'search', 40);
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
       for (let i = 0; i < 30; i++) {
-        recordAnswer(placement, 'near', 'search', 300);
+        recordResponse(placement, 'near', 'search', 300);
       }
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kFar);
     });
@@ -61,8 +61,8 @@
   itSerial('should not leave its zone because of slower routes there', (t) => {
     withPlacement((placement) => {
       for (let i = 0; i < 30; i++) {
-        recordAnswer(placement, 'near', 'report', 2_000);
-        recordAnswer(placement, 'near', 'search', 50);
+        recordResponse(placement, 'near', 'report', 2_000);
+        recordResponse(placement, 'near', 'search', 50);
       }
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
     });
@@ -70,22 +70,22 @@
 
   itSerial('should assume the mean latency for an unknown host', (t) => {
     withPlacement((placement) => {
-      recordAnswer(placement, 'near', 'search', 150);
+      recordResponse(placement, 'near', 'search', 150);
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
     });
   });
 
   itSerial('should leave its zone after repeated failures, not after a single one, and return later', (t) => {
     withPlacement((placement, time) => {
-      const end = (failed: boolean): void => {
+      const finishCall = (failed: boolean): void => {
         placement.recordSent('near');
         placement.recordResult('near', 'search', { tookMs: failed ? undefined : 50, failed });
       };
-      end(false);
-      end(true);
+      finishCall(false);
+      finishCall(true);
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kNear);
       for (let i = 0; i < 10; i++) {
-        end(true);
+        finishCall(true);
       }
       t.is(placement.choose([kFar, kNear], kNone, kRoute), kFar);
       time.runUntil(6_000);
@@ -101,15 +101,15 @@
       const placement = new Placement('near', 'z1', random);
       const twin = record('twin', 'z1');
       for (let i = 0; i < 10; i++) {
-        recordAnswer(placement, 'near', 'search', 300);
-        recordAnswer(placement, 'twin', 'search', 10);
+        recordResponse(placement, 'near', 'search', 300);
+        recordResponse(placement, 'twin', 'search', 10);
       }
       let slow = 0;
       let used = 0;
       for (let now = 0; now < 20_000; now += 20) {
         time.runUntil(now);
         const chosen = placement.choose([kNear, twin], kNone, kRoute)?.host ?? '';
-        recordAnswer(placement, chosen, 'search', 10);
+        recordResponse(placement, chosen, 'search', 10);
         slow += chosen === 'near' && now < 2_000 ? 1 : 0;
         used += chosen === 'near' && now >= 15_000 ? 1 : 0;
       }
@@ -124,8 +124,8 @@
     withPlacement((placement) => {
       const twin = record('twin', 'z1');
       for (let i = 0; i < 10; i++) {
-        recordAnswer(placement, 'near', 'search', 300);
-        recordAnswer(placement, 'twin', 'search', 10);
+        recordResponse(placement, 'near', 'search', 300);
+        recordResponse(placement, 'twin', 'search', 10);
       }
       for (let i = 0; i < 120; i++) {
         placement.choose([kNear, kFar, twin], kNone, kRoute);
@@ -148,7 +148,7 @@
       for (let now = 0; now < 20_000; now += 20) {
         time.runUntil(now);
         const chosen = placement.choose([kNear, twin], kNone, kRoute)?.host ?? '';
-        recordAnswer(placement, chosen, 'search', chosen === 'near' ? 300 : 10);
+        recordResponse(placement, chosen, 'search', chosen === 'near' ? 300 : 10);
         slow += chosen === 'near' ? 1 : 0;
       }
       t.true(slow <= 20, `${slow} of 1000 calls`);
--- a/tests/routing/routeRequest.spec.ts
+++ b/tests/routing/routeRequest.spec.ts
@@ -17,7 +17,7 @@
   return { host, zone: 'z', peers: '', service: 's', instance: `i-${host}`, state: 'ready', slots: 1, epoch: 1, revision: 1 };
 }
 
-function runRoute(idempotent: boolean, maxAttempts: number, ends: readonly CallResult[]): { offers: Offer[]; end: RouteResult } {
+function runRoute(idempotent: boolean, maxAttempts: number, results: readonly CallResult[]): { offers: Offer[]; result: RouteResult } {
   const hosts = ['a', 'b', 'c', 'd', 'e'].map(record);
   const procedure = routeRequest(
     { idempotent, maxAttempts },
@@ -33,30 +33,30 @@
   let step = procedure.next();
   while (step.done !== true) {
     offers.push(step.value);
-    step = procedure.next(ends[offers.length - 1] ?? kRefused);
+    step = procedure.next(results[offers.length - 1] ?? kRefused);
   }
-  return { offers, end: step.value };
+  return { offers, result: step.value };
 }
 
 describe('routing procedure', () => {
   it('should not repeat a non-idempotent request that may have run', (t) => {
     for (const first of [kAnswered, kFailed, kLost]) {
-      const { offers, end } = runRoute(false, 3, [first, kAnswered]);
+      const { offers, result } = runRoute(false, 3, [first, kAnswered]);
       t.is(offers.length, 1);
-      t.is(end, first);
+      t.is(result, first);
     }
   });
 
   it('should try another target when the request provably did not run', (t) => {
     for (const first of [kRefused, kShed]) {
-      t.is(runRoute(false, 3, [first, kAnswered]).end, kAnswered);
+      t.is(runRoute(false, 3, [first, kAnswered]).result, kAnswered);
     }
   });
 
   it('should repeat an idempotent request on another target', (t) => {
     for (const first of [kFailed, kLost]) {
-      const { offers, end } = runRoute(true, 2, [first, kAnswered]);
-      t.is(end, kAnswered);
+      const { offers, result } = runRoute(true, 2, [first, kAnswered]);
+      t.is(result, kAnswered);
       t.deepEqual(
         offers.map(({ target, repeat }) => [target.host, repeat]),
         [
@@ -68,17 +68,17 @@
   });
 
   it('should report "not run" only when no offer may have run, and respect the maximum number of attempts', (t) => {
-    const anyEnd = fc.constantFrom(kAnswered, kFailed, kLost, kRefused, kShed);
+    const anyResult = fc.constantFrom(kAnswered, kFailed, kLost, kRefused, kShed);
     fc.assert(
       fc.property(
         fc.boolean(),
         fc.integer({ min: 1, max: 3 }),
-        fc.array(anyEnd, { minLength: 5, maxLength: 5 }),
-        (idempotent, maxAttempts, ends) => {
-          const { offers, end } = runRoute(idempotent, maxAttempts, ends);
-          const got = ends.slice(0, offers.length);
-          const ran = got.filter(({ kind }) => kind !== 'not_run').length;
-          return (end.kind !== 'not_run' || ran === 0) && ran <= (idempotent ? maxAttempts : 1);
+        fc.array(anyResult, { minLength: 5, maxLength: 5 }),
+        (idempotent, maxAttempts, results) => {
+          const { offers, result } = runRoute(idempotent, maxAttempts, results);
+          const received = results.slice(0, offers.length);
+          const ran = received.filter(({ kind }) => kind !== 'not_run').length;
+          return (result.kind !== 'not_run' || ran === 0) && ran <= (idempotent ? maxAttempts : 1);
         },
       ),
     );
@@ -86,6 +86,6 @@
   });
 
   it('should return the response of a failing target when no other target accepts the repeat', (t) => {
-    t.is(runRoute(true, 2, [kFailed, kRefused, kRefused, kRefused, kRefused]).end, kFailed);
+    t.is(runRoute(true, 2, [kFailed, kRefused, kRefused, kRefused, kRefused]).result, kFailed);
   });
 });
