--- a/packages/core/src/membership/memberView.ts
+++ b/packages/core/src/membership/memberView.ts
@@ -42,7 +42,7 @@
 }
 
 /** Whether the last record of a daemon proves that this incarnation never accepted an attempt whose result was lost. */
-export function provesNeverTaken(member: Member | undefined, incarnation: number, attempt: string): boolean {
+export function provesNeverAccepted(member: Member | undefined, incarnation: number, attempt: string): boolean {
   const left = member?.state === 'left' && member.incarnation === incarnation;
   return left && member.leaveProof !== undefined && !member.leaveProof.unsettled.includes(attempt);
 }
--- a/packages/core/src/membership/targetRecord.ts
+++ b/packages/core/src/membership/targetRecord.ts
@@ -12,7 +12,7 @@
 export type TargetLifecycleState = 'ready' | 'draining' | 'gone' | 'unknown';
 
 /** State of a target for other daemons: `unreachable` while it accepts no connections, regardless of its announcements. */
-export type TargetIntakeState = TargetLifecycleState | 'unreachable';
+export type TargetRecordState = TargetLifecycleState | 'unreachable';
 
 /** The record of one host. Only the daemon on that host changes it. */
 export interface TargetRecord {
@@ -25,7 +25,7 @@
   instance: string;
   /** Start of its incarnation, in milliseconds of the wall clock; 0 or undefined if the target does not report it. */
   born?: number | undefined;
-  state: TargetIntakeState;
+  state: TargetRecordState;
   /** Number of calls that the target runs concurrently. */
   slots: number;
   /** Learned call chains of the target's routes, kept across restarts; undefined until enough calls were observed. */
--- a/packages/daemon/src/app/memberService.ts
+++ b/packages/daemon/src/app/memberService.ts
@@ -5,7 +5,7 @@
 
 /** Maintains the membership view: pings other daemons, responds to their pings, and detects pauses of the process. */
 
-import { type Member, type MemberView, monotonicMs, provesNeverTaken } from '@gentiandrum/core';
+import { type Member, type MemberView, monotonicMs, provesNeverAccepted } from '@gentiandrum/core';
 import type { PeerClient, Pong } from '../client/peerClient.js';
 import type { Logger } from './logger.js';
 import type { OpenOffers } from './openOffers.js';
@@ -109,11 +109,11 @@
    * of this process, queries the holders of the record.
    */
   async neverAccepted(id: string, incarnation: number, attempt: string): Promise<boolean> {
-    if (provesNeverTaken(this.view.get(id), incarnation, attempt)) {
+    if (provesNeverAccepted(this.view.get(id), incarnation, attempt)) {
       return true;
     }
     await this._queryRecord(id);
-    return provesNeverTaken(this.view.get(id), incarnation, attempt);
+    return provesNeverAccepted(this.view.get(id), incarnation, attempt);
   }
 
   /** Pings one daemon; returns whether it responded. */
--- a/tests/membership/readerRank.spec.ts
+++ b/tests/membership/readerRank.spec.ts
@@ -8,19 +8,19 @@
 
 const kWindowMs = 1_000;
 const kHosts = Array.from({ length: 40 }, (_, i) => ({ host: `host-${i}` }));
-const kAllReachable = (): boolean => false;
+const kNoneUnreachable = (): boolean => false;
 
 /** All hosts of one zone; each report reaches all of them. */
 class Zone {
   private readonly _ranks = new Map(kHosts.map(({ host }) => [host, new ReaderRank('zone-1', host, kWindowMs)]));
 
-  report(host: string, well: boolean, now: number): void {
+  report(host: string, healthy: boolean, now: number): void {
     this._ranks.forEach((rank) => {
-      rank.recordReport(host, well, now);
+      rank.recordReport(host, healthy, now);
     });
   }
 
-  determineRole(host: string, now: number, isUnreachable: (host: string) => boolean = kAllReachable): ReaderRole {
+  determineRole(host: string, now: number, isUnreachable: (host: string) => boolean = kNoneUnreachable): ReaderRole {
     const rank = this._ranks.get(host);
     if (!rank) {
       throw new Error(`expected a host of the zone, got ${host}`);
@@ -29,7 +29,7 @@
   }
 
   /** Returns the hosts that consider themselves readers, starting with the first reader. */
-  readers(now: number, isUnreachable: (host: string) => boolean = kAllReachable): string[] {
+  readers(now: number, isUnreachable: (host: string) => boolean = kNoneUnreachable): string[] {
     const roles = kHosts.map(({ host }) => ({ host, role: this.determineRole(host, now, isUnreachable) }));
     return roles
       .filter(({ role }) => role.kind === 'reader')
@@ -53,7 +53,7 @@
     const firsts = Array.from(
       { length: 20 },
       (_, i) =>
-        kHosts.find(({ host }) => new ReaderRank(`zone-${i}`, host, kWindowMs).determineRole(kHosts, kAllReachable, 0).kind === 'reader')
+        kHosts.find(({ host }) => new ReaderRank(`zone-${i}`, host, kWindowMs).determineRole(kHosts, kNoneUnreachable, 0).kind === 'reader')
           ?.host,
     );
     t.true(new Set(firsts).size > 5);
--- a/tests/membership/targetReachability.spec.ts
+++ b/tests/membership/targetReachability.spec.ts
@@ -7,7 +7,7 @@
 import { describe, it } from '../support/describe.js';
 
 /** Records heartbeats at a fixed interval, up to `until`. */
-function heartbeats(reach: TargetReachability, intervalMs: number, until: number): void {
+function recordHeartbeats(reach: TargetReachability, intervalMs: number, until: number): void {
   for (let now = 0; now <= until; now += intervalMs) {
     reach.record('heartbeat', now);
   }
@@ -26,14 +26,14 @@
 
   it('should be unreachable after two connection timeouts, or one while heartbeats are missing', (t) => {
     const alive = new TargetReachability();
-    heartbeats(alive, 1_500, 9_000);
+    recordHeartbeats(alive, 1_500, 9_000);
     t.false(alive.record('timed_out', 9_100));
     t.false(alive.record('connected', 9_200));
     t.false(alive.record('timed_out', 9_300));
     t.true(alive.record('timed_out', 9_400));
-    const silent = new TargetReachability();
-    heartbeats(silent, 1_500, 9_000);
-    t.true(silent.record('timed_out', 14_000));
+    const missing = new TargetReachability();
+    recordHeartbeats(missing, 1_500, 9_000);
+    t.true(missing.record('timed_out', 14_000));
   });
 
   it('should probe an unreachable target with exponential backoff, and immediately after a heartbeat', (t) => {
@@ -54,7 +54,7 @@
 
   it('should probe a target that misses heartbeats, and not one whose heartbeat is late', (t) => {
     const reach = new TargetReachability();
-    heartbeats(reach, 1_500, 9_000);
+    recordHeartbeats(reach, 1_500, 9_000);
     t.false(reach.takeProbe(12_000));
     t.true(reach.takeProbe(13_600));
     t.false(reach.takeProbe(13_700));
--- a/tests/membership/view.spec.ts
+++ b/tests/membership/view.spec.ts
@@ -12,37 +12,37 @@
 }
 
 function view(id: string, others: string[] = []): MemberView {
-  const made = new MemberView(member(id), seededRandom(5), 0);
-  others.forEach((other) => made.merge(member(other), 0));
-  return made;
+  const created = new MemberView(member(id), seededRandom(5), 0);
+  others.forEach((other) => created.merge(member(other), 0));
+  return created;
 }
 
 describe('a membership view', () => {
   it('should suspect a daemon before it marks it dead', (t) => {
-    const seen = view('a', ['b']);
-    seen.suspect('b', 0);
-    seen.tick(kSuspicionTimeoutMs - 1);
-    t.is(seen.get('b')?.state, 'suspect');
-    seen.tick(kSuspicionTimeoutMs);
-    t.is(seen.get('b')?.state, 'dead');
+    const members = view('a', ['b']);
+    members.suspect('b', 0);
+    members.tick(kSuspicionTimeoutMs - 1);
+    t.is(members.get('b')?.state, 'suspect');
+    members.tick(kSuspicionTimeoutMs);
+    t.is(members.get('b')?.state, 'dead');
   });
 
   it('should refute suspicion of itself with a higher revision', (t) => {
-    const seen = view('a');
-    seen.merge(member('a', { state: 'dead', revision: 4 }), 0);
-    t.is(seen.self.revision, 5);
-    t.is(seen.self.state, 'alive');
+    const members = view('a');
+    members.merge(member('a', { state: 'dead', revision: 4 }), 0);
+    t.is(members.self.revision, 5);
+    t.is(members.self.state, 'alive');
     const other = view('b');
     other.merge(member('a', { state: 'dead', revision: 4, incarnation: 0 }), 0);
-    other.merge(seen.self, 0);
+    other.merge(members.self, 0);
     t.is(other.get('a')?.state, 'alive');
   });
 
   it('should accept a later incarnation, and reject records of the earlier one', (t) => {
-    const seen = view('a', ['b']);
-    seen.merge(member('b', { incarnation: 2 }), 0);
-    t.false(seen.merge(member('b', { state: 'dead', revision: 9 }), 0));
-    t.is(seen.get('b')?.incarnation, 2);
+    const members = view('a', ['b']);
+    members.merge(member('b', { incarnation: 2 }), 0);
+    t.false(members.merge(member('b', { state: 'dead', revision: 9 }), 0));
+    t.is(members.get('b')?.incarnation, 2);
   });
 
   it('should agree with other daemons on the holders of the last record of a leaving daemon', (t) => {
@@ -67,28 +67,28 @@
   });
 
   it('should restart suspicion timeouts after the process was paused', (t) => {
-    const seen = view('a', ['b']);
-    seen.suspect('b', 0);
-    seen.restartSuspicionTimers(60_000);
-    seen.tick(60_000);
-    t.is(seen.get('b')?.state, 'suspect');
+    const members = view('a', ['b']);
+    members.suspect('b', 0);
+    members.restartSuspicionTimers(60_000);
+    members.tick(60_000);
+    t.is(members.get('b')?.state, 'suspect');
   });
 
   it('should probe dead daemons occasionally, to detect the end of a partition', (t) => {
-    const seen = view('a', ['b', 'c']);
-    seen.suspect('b', 0);
-    seen.tick(kSuspicionTimeoutMs);
-    const probed = new Set(Array.from({ length: 200 }, () => seen.nextProbe()?.id));
+    const members = view('a', ['b', 'c']);
+    members.suspect('b', 0);
+    members.tick(kSuspicionTimeoutMs);
+    const probed = new Set(Array.from({ length: 200 }, () => members.nextProbe()?.id));
     t.true(probed.has('b'));
-    seen.markAlive('b', 10_000);
-    t.is(seen.get('b')?.state, 'alive');
+    members.markAlive('b', 10_000);
+    t.is(members.get('b')?.state, 'alive');
   });
 
   it('should send each change a bounded number of times', (t) => {
-    const seen = view('a', ['b', 'c', 'd']);
+    const members = view('a', ['b', 'c', 'd']);
     let sent = 0;
     for (let i = 0; i < 100; i++) {
-      sent += seen.takeChanges().length;
+      sent += members.takeChanges().length;
     }
     t.true(sent > 0 && sent <= 4 * 9, String(sent));
   });
@@ -97,9 +97,9 @@
     const random = seededRandom(9);
     const ids = Array.from({ length: 490 }, (_, i) => `d${i}`);
     const views = ids.map((id) => {
-      const made = new MemberView(member(id), random, 0);
-      ids.forEach((other) => made.merge(member(other), 0));
-      return made;
+      const created = new MemberView(member(id), random, 0);
+      ids.forEach((other) => created.merge(member(other), 0));
+      return created;
     });
     for (let i = 0; i < 30; i++) {
       views.forEach((each) => each.takeChanges());
