--- a/tests/quarantine/histories.spec.ts
+++ b/tests/quarantine/histories.spec.ts
@@ -14,7 +14,7 @@
 
 const kHosts = 8;
 const kHistoryMs = 10_000;
-const kInnocentEveryMs = 8;
+const kHarmlessEveryMs = 8;
 const kSharedShare = 0.25;
 const kMaxCrashes = 3;
 const kMaxNotServed = 0.02;
@@ -34,7 +34,7 @@
   /** Crashes by each lethal type, and how many of its requests started before the first crash was detected. */
   lethal: { crashes: number; early: number }[];
   quarantined: number;
-  innocent: number;
+  harmless: number;
   notServed: number;
   crashes: number;
 }
@@ -63,7 +63,7 @@
     const shared = requestTypeOf('/s/shared', 15);
     const lethal = lethalEveryMs.map((_, i) => requestTypeOf(`/s/lethal/${i}`, 0, true, idempotent));
     let item = 0;
-    scheduleRepeated(fleet, random, kInnocentEveryMs, () => {
+    scheduleRepeated(fleet, random, kHarmlessEveryMs, () => {
       const type = random() < kSharedShare ? shared : requestTypeOf(`/s/items/${item++}`, 5 + random() * 60);
       fleet.request(fleet.anyHost(), type);
     });
@@ -94,7 +94,7 @@
       });
     }
     fleet.time.runUntil(kHistoryMs + 5_000);
-    const innocent = fleet.outcomes.filter(({ type }) => !type.lethal);
+    const harmless = fleet.outcomes.filter(({ type }) => !type.lethal);
     return {
       lethal: lethal.map((type) => {
         const crashes = fleet.crashes.filter((crash) => crash.type === type);
@@ -105,8 +105,8 @@
         };
       }),
       quarantined: fleet.quarantined.size,
-      innocent: innocent.length,
-      notServed: innocent.filter(({ end }) => end === 'unfinished' || end.kind !== 'answered').length,
+      harmless: harmless.length,
+      notServed: harmless.filter(({ result }) => result === 'unfinished' || result.kind !== 'answered').length,
       crashes: fleet.crashes.length,
     };
   } finally {
@@ -128,13 +128,13 @@
     let histories = 0;
     for (const everyMs of [30, 300, 1_600]) {
       for (const seed of seeds(60)) {
-        const { lethal, innocent, notServed } = runHistory(seed, { lethalEveryMs: [everyMs], restartsEveryMs: 4_000 });
-        const details = `seed ${seed}, every ${everyMs} ms: ${JSON.stringify({ lethal, innocent, notServed })}`;
+        const { lethal, harmless, notServed } = runHistory(seed, { lethalEveryMs: [everyMs], restartsEveryMs: 4_000 });
+        const details = `seed ${seed}, every ${everyMs} ms: ${JSON.stringify({ lethal, harmless, notServed })}`;
         t.true(
           lethal.every(({ crashes, early }) => crashes <= allowedCrashes(early)),
           details,
         );
-        t.true(notServed <= innocent * kMaxNotServed, details);
+        t.true(notServed <= harmless * kMaxNotServed, details);
         histories++;
       }
     }
@@ -169,17 +169,17 @@
 describe('targets that crash spontaneously, in seeded histories', () => {
   itSerial('should not cause any quarantine', (t) => {
     let crashes = 0;
-    let innocent = 0;
+    let harmless = 0;
     let notServed = 0;
     for (const seed of seeds(200)) {
       const result = runHistory(seed, { crashesEveryMs: 550 });
       t.is(result.quarantined, 0, `seed ${seed}: ${JSON.stringify(result)}`);
       crashes += result.crashes;
-      innocent += result.innocent;
+      harmless += result.harmless;
       notServed += result.notServed;
     }
     t.true(crashes > 2_000);
-    t.true(notServed <= innocent * kMaxNotServed, JSON.stringify({ innocent, notServed }));
+    t.true(notServed <= harmless * kMaxNotServed, JSON.stringify({ harmless, notServed }));
   });
 
   itSerial('should not cause a quarantine besides that of a lethal request', (t) => {
--- a/tests/quarantine/quarantineFleet.ts
+++ b/tests/quarantine/quarantineFleet.ts
@@ -49,12 +49,12 @@
 /** The result of one request. */
 export interface Outcome {
   type: RequestType;
-  end: RouteResult | 'unfinished';
+  result: RouteResult | 'unfinished';
 }
 
 interface ModelCall extends SuspectCall {
   type: RequestType;
-  reply: (end: CallResult) => void;
+  reply: (result: CallResult) => void;
 }
 
 /** A host with its daemon and its target. */
@@ -151,7 +151,7 @@
 
   /** Sends an external request to a host. */
   request(host: ModelHost, type: RequestType): void {
-    const outcome: Outcome = { type, end: 'unfinished' };
+    const outcome: Outcome = { type, result: 'unfinished' };
     this.outcomes.push(outcome);
     const deadline = monotonicMs() + kDeadlineMs;
     const { generation } = host;
@@ -178,15 +178,15 @@
       },
     );
     const advance = (step: IteratorResult<Offer, RouteResult>): void => {
-      if (host.generation !== generation || outcome.end !== 'unfinished') {
+      if (host.generation !== generation || outcome.result !== 'unfinished') {
         return;
       }
       if (step.done === true) {
-        outcome.end = step.value;
+        outcome.result = step.value;
         return;
       }
-      this._offer(host, step.value, { type, suspicion: step.value.suspect ? suspicion() : undefined, deadline }, (end) => {
-        advance(procedure.next(end));
+      this._offer(host, step.value, { type, suspicion: step.value.suspect ? suspicion() : undefined, deadline }, (result) => {
+        advance(procedure.next(result));
       });
     };
     advance(procedure.next());
@@ -289,14 +289,14 @@
     from: ModelHost,
     { target }: Offer,
     { type, suspicion, deadline }: { type: RequestType; suspicion: Suspicion | undefined; deadline: number },
-    done: (end: CallResult) => void,
+    done: (result: CallResult) => void,
   ): void {
     const to = this._hostAt(this.hosts.findIndex(({ name }) => name === target.host));
     const settled = { over: false };
-    const settle = (end: CallResult): void => {
+    const settle = (result: CallResult): void => {
       if (!settled.over) {
         settled.over = true;
-        done(end);
+        done(result);
       }
     };
     const { generation } = to;
@@ -306,15 +306,15 @@
       route: 'r',
       suspicion,
       waitUntil: (monotonicMs() + deadline) / 2,
-      reply: (end) => {
+      reply: (result) => {
         this._send(to, from, () => {
-          settle(end);
+          settle(result);
         });
       },
     };
     this._send(from, to, () => {
       if (to.generation === generation) {
-        this._takeOffer(to, call);
+        this._receiveOffer(to, call);
       }
     });
     // The link fails when the receiving daemon restarts or the network is partitioned.
@@ -325,7 +325,7 @@
     });
   }
 
-  private _takeOffer(host: ModelHost, call: ModelCall): void {
+  private _receiveOffer(host: ModelHost, call: ModelCall): void {
     const decision = host.gate.offer(call);
     switch (decision.kind) {
       case 'pass':
@@ -342,8 +342,8 @@
     }
   }
 
-  private _finish(host: ModelHost, call: ModelCall, end: CallResult): void {
-    call.reply(end);
+  private _finish(host: ModelHost, call: ModelCall, result: CallResult): void {
+    call.reply(result);
     host.gate.leave(call);
   }
 
