--- a/packages/core/src/workspaces/quotaOwner.ts
+++ b/packages/core/src/workspaces/quotaOwner.ts
@@ -25,14 +25,14 @@
 export class QuotaOwner {
   private readonly _owned = new Map<string, OwnedShare>();
   private _initialFill: 'nothing' | 'reserve' | 'capacity' = 'nothing';
-  private _membersSince: number;
+  private _membersChangedAt: number;
   private _evictedAt: number;
 
   constructor(
     private readonly _settings: QuotaSettings,
     now: number,
   ) {
-    this._membersSince = now;
+    this._membersChangedAt = now;
     this._evictedAt = now;
   }
 
@@ -56,7 +56,7 @@
 
   /** Records that hosts joined or left: another daemon may have owned the shares of buckets created after this, up to `now`. */
   membersChanged(now: number): void {
-    this._membersSince = now;
+    this._membersChangedAt = now;
   }
 
   /** Takes a token of a workspace's share; `limits` are those of configuration `version`. */
@@ -88,7 +88,7 @@
 
   /** Creates a bucket that refills from the last change of hosts, as another daemon may have owned the share before it. */
   private _createBucket(limits: ShareLimits): QuotaBucket {
-    return new QuotaBucket(limits, this._initialTokens(limits), this._membersSince);
+    return new QuotaBucket(limits, this._initialTokens(limits), this._membersChangedAt);
   }
 
   private _initialTokens({ capacity, reserve }: ShareLimits): number {
--- a/tests/workspaces/admitRequest.spec.ts
+++ b/tests/workspaces/admitRequest.spec.ts
@@ -43,7 +43,7 @@
   ranks: number[];
 }
 
-function surroundings(recorded: Recorded, changed: Partial<AdmitContext> = {}): AdmitContext {
+function createContext(recorded: Recorded, changed: Partial<AdmitContext> = {}): AdmitContext {
   return {
     tables: () => kTables,
     validUntil: () => 1_000,
@@ -60,14 +60,14 @@
   };
 }
 
-function enter(req: Partial<EntryRequest>, changed?: Partial<AdmitContext>): { end: EntryResult; recorded: Recorded } {
+function enter(req: Partial<EntryRequest>, changed?: Partial<AdmitContext>): { result: EntryResult; recorded: Recorded } {
   const recorded: Recorded = { taken: [], ranks: [] };
-  const procedure = admitRequest({ host: 'app', path: '/read/1', presented: { kind: 'none' }, ...req }, surroundings(recorded, changed));
+  const procedure = admitRequest({ host: 'app', path: '/read/1', presented: { kind: 'none' }, ...req }, createContext(recorded, changed));
   const step = procedure.next();
   if (step.done !== true) {
     throw new Error('expected no token request');
   }
-  return { end: step.value, recorded };
+  return { result: step.value, recorded };
 }
 
 const kCrew = { presented: { kind: 'key', key: 'k-crew' } } as const;
@@ -86,8 +86,8 @@
       ['admitted', { path: '/open/1' }, { validUntil: () => 0 }],
     ];
     for (const [kind, req, changed] of cases) {
-      const { end, recorded } = enter(req, changed);
-      t.is(end.kind, kind);
+      const { result, recorded } = enter(req, changed);
+      t.is(result.kind, kind);
       t.deepEqual(recorded.taken, []);
     }
     t.deepEqual(enter(kCrew).recorded.taken, ['crew']);
@@ -105,8 +105,8 @@
   });
 
   it('should return the workspace of a shed request, so that its token is returned', (t) => {
-    const { end } = enter(kCrew, { shouldShed: () => true });
-    t.is(end.kind === 'shed' ? end.workspace?.token?.host : undefined, 'h');
+    const { result } = enter(kCrew, { shouldShed: () => true });
+    t.is(result.kind === 'shed' ? result.workspace?.token?.host : undefined, 'h');
   });
 });
 
--- a/tests/workspaces/freshness.spec.ts
+++ b/tests/workspaces/freshness.spec.ts
@@ -63,16 +63,16 @@
   /** Number of times a key was accepted too long after its revocation: by the real proof and by the naive one. */
   stale: number;
   naiveStale: number;
-  /** Number of samples on unaffected daemons at which requests are admitted, out of `moments`. */
+  /** Number of samples on unaffected daemons at which requests are admitted, out of `samples`. */
   open: number;
-  moments: number;
+  samples: number;
 }
 
 /** Runs one history: some daemons read the log, and messages are delayed, duplicated, stalled and lost. */
 function runHistory(seed: number, faulty: boolean): HistoryResult {
   const random = seededRandom(seed);
   const daemons = Array.from({ length: kDaemons }, () => new Daemon(random, -Math.floor(random() * 100_000)));
-  const result: HistoryResult = { stale: 0, naiveStale: 0, open: 0, moments: 0 };
+  const result: HistoryResult = { stale: 0, naiveStale: 0, open: 0, samples: 0 };
   let messages: Message[] = [];
   let logVersion = 1;
   let revokedAt = Infinity;
@@ -151,7 +151,7 @@
       result.stale += open && outdated ? 1 : 0;
       result.naiveStale += now - daemon.naiveProofAt < kWithinMs * 0.9 && outdated ? 1 : 0;
       if (now > 3_000 && isUnaffected(at)) {
-        result.moments++;
+        result.samples++;
         result.open += open ? 1 : 0;
       }
     });
@@ -177,9 +177,9 @@
     let wrong = 0;
     let naiveWrong = 0;
     for (let seed = 1; seed <= kHistories; seed++) {
-      const judged = runHistory(seed, true);
-      wrong += judged.stale;
-      naiveWrong += judged.naiveStale > 0 ? 1 : 0;
+      const result = runHistory(seed, true);
+      wrong += result.stale;
+      naiveWrong += result.naiveStale > 0 ? 1 : 0;
     }
     t.is(wrong, 0);
     t.true(naiveWrong > kHistories / 10, `the naive proof failed in ${naiveWrong} of ${kHistories} histories`);
@@ -187,8 +187,8 @@
 
   it('should always be available without faults', (t) => {
     for (let seed = 1; seed <= 5; seed++) {
-      const { open, moments } = runHistory(seed, false);
-      t.is(open, moments);
+      const { open, samples } = runHistory(seed, false);
+      t.is(open, samples);
     }
   });
 
--- a/tests/workspaces/quotas.spec.ts
+++ b/tests/workspaces/quotas.spec.ts
@@ -145,13 +145,13 @@
     this._events.splice(low, 0, event);
   }
 
-  runUntil(end: number): void {
-    for (let next = this._events.at(-1); next && next.at <= end; next = this._events.at(-1)) {
+  runUntil(until: number): void {
+    for (let next = this._events.at(-1); next && next.at <= until; next = this._events.at(-1)) {
       this._events.pop();
       this.now = next.at;
       next.run();
     }
-    this.now = end;
+    this.now = until;
   }
 
   /** Whether messages are delivered between two daemons. */
@@ -210,9 +210,9 @@
     } else {
       const hopMs = owner.at.zone === daemon.at.zone ? 0.5 : 1;
       this.after(hopMs, () => {
-        const answer = owner.grant();
+        const response = owner.grant();
         // A granted token stays taken even if the response is lost.
-        resume(this.linked(daemon, owner) ? answer : 'no_answer', this.linked(daemon, owner) ? hopMs : kResponseTimeoutMs);
+        resume(this.linked(daemon, owner) ? response : 'no_answer', this.linked(daemon, owner) ? hopMs : kResponseTimeoutMs);
       });
     }
   }
@@ -329,8 +329,13 @@
   }
   const { hosts } = world;
   for (const daemon of world.daemons.values()) {
-    const cut = Math.max(daemon.partitionedUntil, world.zonePartitions.get(daemon.at.zone) ?? 0, daemon.frozenUntil, daemon.downUntil);
-    world.after(Math.max(cut - world.now, 0) + random() * kUpdateMs, () => {
+    const unreachableUntil = Math.max(
+      daemon.partitionedUntil,
+      world.zonePartitions.get(daemon.at.zone) ?? 0,
+      daemon.frozenUntil,
+      daemon.downUntil,
+    );
+    world.after(Math.max(unreachableUntil - world.now, 0) + random() * kUpdateMs, () => {
       daemon.updateHosts(hosts);
     });
   }
@@ -362,11 +367,11 @@
     let fullest = 0;
     for (let seed = 1; seed <= kHistories; seed++) {
       const usualPerSecond = [1, 3, 10, 30, 100][seed % 5] ?? 1;
-      const played = runHistory(seed, { usualPerSecond, times: withBurst(seededRandom(seed + 7_000)), untilMs: 20_000 }, (world) => {
+      const result = runHistory(seed, { usualPerSecond, times: withBurst(seededRandom(seed + 7_000)), untilMs: 20_000 }, (world) => {
         randomFaults(world, 20_000);
       });
-      fullest = Math.max(fullest, played.fullest);
-      t.true(played.fullest <= 1, `seed ${seed}: ${usualPerSecond} a second, fullest window ${played.fullest}`);
+      fullest = Math.max(fullest, result.fullest);
+      t.true(result.fullest <= 1, `seed ${seed}: ${usualPerSecond} a second, fullest window ${result.fullest}`);
     }
     t.log(`fullest window of ${kHistories} histories: ${fullest.toFixed(3)} of the bound`);
   });
