--- a/packages/core/src/routing/targetStats.ts
+++ b/packages/core/src/routing/targetStats.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Statistics that one daemon keeps about one target: its own outstanding offers, reported load and failures. */
+/** Statistics that one daemon keeps about one target: offers that it has outstanding there, reported load and failures. */
 
 const kFailureWeight = 0.1;
 const kEjectFailureRate = 0.5;
--- a/packages/core/src/routing/targetSubset.ts
+++ b/packages/core/src/routing/targetSubset.ts
@@ -13,18 +13,18 @@
 
 /** Primary targets besides the one on the local host. */
 const kSubsetSize = 8;
-/** Largest number of targets at which all are primary. */
+/** Maximum number of targets of a service at which all of them are primary. */
 const kMaxAllPrimarySize = 12;
 
 /** Targets of a service, divided for one ingress. */
 export interface TargetSubset {
   /** Targets that are compared for each call. */
   primary: readonly TargetRecord[];
-  /** Targets for when the primary ones are full or unreachable: those of the local zone first, then the others, both by rank. */
+  /** Targets to use when the primary ones are full or unreachable: those of the local zone first, then the others, both by rank. */
   fallback: readonly TargetRecord[];
 }
 
-/** Divides the candidates of a service for the ingress on `host`, by the rank that they have for it. */
+/** Divides the candidates of a service for the ingress on `host`, by their rendezvous rank for that host. */
 export function subsetFor(host: string, zone: string, candidates: readonly TargetRecord[], rank: RendezvousRank): TargetSubset {
   if (candidates.length <= kMaxAllPrimarySize) {
     return { primary: candidates, fallback: [] };
--- a/tests/routing/deadTargets.spec.ts
+++ b/tests/routing/deadTargets.spec.ts
@@ -255,7 +255,7 @@
     t.true(served >= 0.99 * requests, `${served} of ${requests} served`);
   });
 
-  itSerial('should receive almost no offers at 1.2 of the remaining capacity, with the others kept busy', (t) => {
+  itSerial('should receive almost no offers at 1.2 of the remaining capacity, while the other targets are overloaded', (t) => {
     const { offers, unsuccessful, requests, served } = simulate(1.2, 3_000, 1_000);
     t.true(unsuccessful <= 0.005 * offers, `${unsuccessful} of ${offers} offers unsuccessful`);
     t.true(served >= 0.7 * requests, `${served} of ${requests} served`);
--- a/tests/routing/picker.spec.ts
+++ b/tests/routing/picker.spec.ts
@@ -32,14 +32,14 @@
 }
 
 describe('a target picker', () => {
-  it('should stay in its own zone while that has capacity, and spill over when it has none', (t) => {
+  it('should stay in the local zone while that has capacity, and use other zones when it has none', (t) => {
     const candidates = [candidate('e1', 'east'), candidate('e2', 'east'), candidate('w1', 'west'), candidate('w2', 'west')];
     const picker = warmPicker(candidates);
     t.deepEqual([...pickMany(picker, candidates, 5).keys()], ['east']);
     t.true((pickMany(picker, candidates, 40).get('west') ?? 0) > 10);
   });
 
-  it('should prefer targets in its own region', (t) => {
+  it('should prefer targets in the local region', (t) => {
     const candidates = [candidate('e1', 'east'), candidate('n1', 'north', 'two')];
     t.deepEqual([...pickMany(warmPicker(candidates), candidates, 9).keys()], ['east']);
     t.is(new TargetPicker('east', 'one', seededRandom(3)).pick([candidate('n1', 'north', 'two')], new Set(), 0)?.reason, 'other_region');
@@ -82,7 +82,7 @@
     },
   });
 
-  it('should choose the most specific class, regardless of their order', (t) => {
+  it('should choose the most specific class, regardless of the order of the classes', (t) => {
     const classifier = new Classifier(cfg);
     t.is(classifier.classify('s', 'GET', '/spans/7/history')?.name, 'span');
     t.is(classifier.classify('s', 'GET', '/spans/7')?.name, 'read');
--- a/tests/routing/placement.spec.ts
+++ b/tests/routing/placement.spec.ts
@@ -45,7 +45,7 @@
     });
   });
 
-  itSerial('should leave its zone for a free target only when its own target is full', (t) => {
+  itSerial('should leave its zone for a free target only when the target there is full', (t) => {
     withPlacement((placement) => {
       const load = (inFlight: number): void => {
         placement.recordSent('near');
