--- a/packages/core/src/membership/memberView.ts
+++ b/packages/core/src/membership/memberView.ts
@@ -32,7 +32,7 @@
   slots: number;
   /** Version of the configuration that the daemon last reported. */
   configVersion: number;
-  /** Attempts that the daemon can't prove settled; undefined before it has left, and when there are too many to list. */
+  /** Attempts that may be unsettled; undefined before the daemon has left, and when there are too many to list. */
   leaveProof?: LeaveProof | undefined;
 }
 
@@ -65,7 +65,7 @@
 const kFullySpread = 1_000;
 /** Share of the probes that go to dead daemons. */
 const kDeadProbeShare = 0.1;
-/** Daemons that receive the last record of a leaving daemon directly; tolerates two that are unreachable or slow. */
+/** Number of daemons that receive the last record of a daemon directly when it shuts down; two of them may be unreachable or slow. */
 const kRecordHolders = 3;
 const kStateRank: Record<MemberState, number> = { alive: 0, suspect: 1, dead: 2, left: 3 };
 
@@ -101,7 +101,7 @@
     return this._entries.get(id)?.member;
   }
 
-  /** Changes the local daemon's record, and its revision if any value differs. */
+  /** Changes the local daemon's record, and increases its revision if any value differs. */
   update(change: Partial<Member>, now: number): void {
     const next = { ...this._self, ...change };
     if (JSON.stringify(next) === JSON.stringify(this._self)) {
@@ -131,7 +131,7 @@
     return true;
   }
 
-  /** Sets the configuration version that a daemon reported. The change is not sent on, as each new version changes all records. */
+  /** Sets the configuration version that a daemon reported. The change is not retransmitted, as each new version changes all records. */
   setConfigVersion(id: string, configVersion: number): void {
     const known = this._entries.get(id);
     if (!known) {
@@ -228,8 +228,8 @@
   }
 
   /**
-   * Returns the daemons that a leaving daemon sends its last record to, and that others request it from. All daemons compute the same
-   * ranking.
+   * Returns the daemons to which a daemon sends its last record when it shuts down, and from which others request it. All daemons compute
+   * the same ranking.
    */
   recordHoldersOf(id: string): Member[] {
     const ranked = new RendezvousRank(id).order(
@@ -268,7 +268,7 @@
   }
 }
 
-/** Whether a record is newer than the current one. */
+/** Whether a record replaces the current one: it is newer, or has the same revision and a state of higher rank. */
 function supersedes(member: Member, current: Member): boolean {
   if (member.incarnation !== current.incarnation) {
     return member.incarnation > current.incarnation;
--- a/packages/core/src/membership/readerRank.ts
+++ b/packages/core/src/membership/readerRank.ts
@@ -35,7 +35,7 @@
 export class ReaderRank {
   private readonly _rank: RendezvousRank;
   private readonly _reports = new Map<string, ReaderReport>();
-  /** Time since which a host is expected to be a reader; its first report is due one window later. */
+  /** Time since which a host is expected to be a reader; its first report must arrive within one window. */
   private _expectedSince = new Map<string, number>();
 
   /** @param _windowMs time without a report after which a reader is replaced, in milliseconds */
--- a/tests/membership/view.spec.ts
+++ b/tests/membership/view.spec.ts
@@ -45,7 +45,7 @@
     t.is(members.get('b')?.incarnation, 2);
   });
 
-  it('should agree with other daemons on the holders of the last record of a leaving daemon', (t) => {
+  it('should agree with other daemons on the holders of the last record of a daemon that shuts down', (t) => {
     const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
     const holders = (of: string, at: string): string[] =>
       view(
