--- a/packages/core/src/util/hashText.ts
+++ b/packages/core/src/util/hashText.ts
@@ -20,7 +20,7 @@
   return murmurhash.v3(bytes, seed);
 }
 
-/** Combines two hashes into an unsigned 32-bit integer; much faster than hashing the two texts together. */
+/** Combines two hashes into an unsigned 32-bit integer; cheaper than hashing both texts for each pair. */
 export function hashPair(a: number, b: number): number {
   let hash = a ^ Math.imul(b, 0x9e3779b1);
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
