--- a/packages/core/src/quarantine/suspectTable.ts
+++ b/packages/core/src/quarantine/suspectTable.ts
@@ -16,14 +16,14 @@
 const kMaxFingerprints = 1_000;
 /** Time after the last change at which a fingerprint that is not quarantined expires, in milliseconds. */
 const kExpiryMs = 60 * 60_000;
-/** Time until a quarantined fingerprint is probed again, in milliseconds; doubles with each further crash. */
+/** Time until a quarantined fingerprint is probed again, in milliseconds; doubles with each crash above kMaxCrashes. */
 const kFirstQuarantineMs = 60 * 60_000;
 /**
  * Time until a quarantined fingerprint without a crash during a probe is probed, in milliseconds. It is short, as a common request can be
  * in flight on several targets that crash together for another reason.
  */
 const kUnconfirmedQuarantineMs = 30_000;
-/** Crashes after quarantine at which probing stops; from then on only an operator can release the fingerprint. */
+/** Number of crashes above kMaxCrashes at which probing stops; from then on only an operator can release the fingerprint. */
 const kMaxProbeFailures = 3;
 
 /** A crash of one incarnation of a target. */
--- a/packages/core/src/quarantine/suspicion.ts
+++ b/packages/core/src/quarantine/suspicion.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * The crashes during which requests with one fingerprint were in flight, with the evidence that clears them. Daemons receive updates in any
- * order and repeatedly, so merging is a union: flags are only ever set, and each crashed incarnation counts once.
+ * The crashes during which requests with one fingerprint were in flight, with flags for those that are cleared or released. Daemons
+ * receive updates in any order and repeatedly, so merging is a union: flags are only ever set, and each crashed incarnation counts once.
  */
 
 /** A target crash during which a request with the fingerprint was in flight there. */
@@ -22,7 +22,7 @@
   released: boolean;
 }
 
-/** Everything known against one fingerprint. */
+/** Crashes that requests with one fingerprint may have caused. */
 export interface Suspicion {
   fingerprint: string;
   /** Hash of the request without its body's content, for a cheap first look-up. */
@@ -45,14 +45,14 @@
 
 /** Number of crashes at which a fingerprint is quarantined. */
 export const kMaxCrashes = 3;
-/** Number of crashes at which a fingerprint is probed apart from others, so that a further crash identifies its cause. */
+/** Number of crashes at which requests with a fingerprint run as probes, so that a further crash identifies its cause. */
 const kProbeCrashes = 2;
 /** Number of crashes during probes at which a fingerprint is quarantined; a single one may be a coincidence. */
 const kMaxProbedCrashes = 2;
 /** Maximum number of marks per suspicion. The latest crashes are kept, so all daemons keep the same marks regardless of arrival order. */
 const kMaxMarks = 8;
 
-/** Number of crashes that still count against the fingerprint. */
+/** Number of crashes that still count: a release clears any of them, a completed request only those outside a probe. */
 export function crashesOf({ marks }: Pick<Suspicion, 'marks'>): number {
   return marks.filter(countsAsCrash).length;
 }
--- a/tests/quarantine/suspectTable.spec.ts
+++ b/tests/quarantine/suspectTable.spec.ts
@@ -11,7 +11,7 @@
 const kHourMs = 60 * 60_000;
 const kIdentity: RequestIdentity = { method: 'GET', host: 'app.example', path: '/a?b=1', body: new Uint8Array() };
 
-/** Records a crash during which the request was in flight, as a probe when the verdict says so. */
+/** Records a crash during which the request was in flight, as a probe when the verdict is `trial`. */
 function crash(table: SuspectTable, id: number, identity = kIdentity): void {
   table.crashed({ id, at: id }, [{ identity, route: 'r', tested: table.verdict(fingerprintOf(identity)) === 'trial' }]);
 }
