--- a/packages/core/src/claims/claimIndex.ts
+++ b/packages/core/src/claims/claimIndex.ts
@@ -6,7 +6,7 @@
 /**
  * Index of the claims of one shard in log order: the first claim of a key is its holder.
  *
- * There are no leases that could expire: a claimant that was paused finds the same order afterwards.
+ * Claims are not leases and do not expire with time: a claimant that was paused reads the same order afterwards.
  */
 
 import { type ClaimRecord, claimBatchSchema } from '@gentiandrum/protocol';
--- a/packages/core/src/claims/keySettler.ts
+++ b/packages/core/src/claims/keySettler.ts
@@ -5,10 +5,10 @@
 
 /**
  * Settles the keys that one daemon decides on in memory, without the log: numbered keys of the namespaces it minted, and keys derived for
- * calls in chains that entered on it. When the daemon restarts, calls with its earlier keys can no longer run.
+ * calls in call chains that entered on it. When the daemon restarts, calls with its earlier keys can no longer run.
  */
 
-/** Whether a bidder may run the call of a key. */
+/** Whether a claimant may run the call of a key. */
 export type KeyVerdict =
   { kind: 'granted' } | { kind: 'held'; holder: string; address: string } | { kind: 'mismatch' } | { kind: 'unknown' };
 
