--- a/packages/core/src/workspaces/quotaBucket.ts
+++ b/packages/core/src/workspaces/quotaBucket.ts
@@ -10,7 +10,7 @@
 const kMsPerSecond = 1_000;
 /** Share of the capacity up to which future tokens are promised to refused clients. */
 const kPromisedShare = 0.5;
-/** Maximum wait that a refused client is told, in milliseconds. */
+/** Maximum retry delay sent to a refused client, in milliseconds. */
 const kMaxWaitMs = 60_000;
 
 /** Result of a request for a token: granted, or the time until the client should retry. */
--- a/tests/workspaces/admitRequest.spec.ts
+++ b/tests/workspaces/admitRequest.spec.ts
@@ -162,7 +162,7 @@
 });
 
 describe('a full gate', () => {
-  it('should shed the less urgent first, even if it arrived earlier, and never an internal call for an external request', (t) => {
+  it('should shed the less urgent request first, even if it arrived earlier, and no internal call before an external one', (t) => {
     const refused: number[] = [];
     const gate = new SlotGate({ onStart: () => undefined, onRefuse: ({ id }) => refused.push(id) });
     gate.open(1, 0);
--- a/tests/workspaces/freshness.spec.ts
+++ b/tests/workspaces/freshness.spec.ts
@@ -231,7 +231,7 @@
 });
 
 describe('a proof across a suspension', () => {
-  it('should be invalid: earlier proofs, requests and reads are older than the monotonic clock shows', (t) => {
+  it('should be invalid, as earlier proofs, requests and reads are older than the monotonic clock shows', (t) => {
     const freshness = new Freshness(kSettings, 1);
     freshness.addProof({ at: 1_000, version: 1 }, 1);
     const id = freshness.startRequest(1_100);
