--- a/packages/core/src/membership/readerRank.ts
+++ b/packages/core/src/membership/readerRank.ts
@@ -9,7 +9,7 @@
  * calls, and without a reader the members poll the log themselves.
  */
 
-import { RendezvousRank } from '../util/rendezvous.js';
+import { RendezvousRank } from '../util/rendezvousRank.js';
 
 /** Readers of a zone; the second one is a hot standby. */
 const kReadersPerZone = 2;
@@ -35,7 +35,7 @@
 export class ReaderRank {
   private readonly _rank: RendezvousRank;
   private readonly _reports = new Map<string, ReaderReport>();
-  /** Time since which a host is expected to be a reader; its first report is due one window later. */
+  /** Time since which a host is expected to be a reader; its first report must arrive within one window. */
   private _expectedSince = new Map<string, number>();
 
   /** @param _windowMs time without a report after which a reader is replaced, in milliseconds */
