--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -372,12 +372,12 @@
       picker: new TargetPicker(host.zone, 'one', this._world.random),
       rootFilter: new RootFilter(() => this._favour),
       ledger,
-      retryRatio: (service) => {
+      retryBucket: (service) => {
         const ratio = ratios.get(service) ?? new RetryTokenBucket(() => kRetryRatio);
         ratios.set(service, ratio);
         return ratio;
       },
-      answers: new ResponseStore(1),
+      responses: new ResponseStore(1),
       settler: new KeySettler(),
       claimShard: () => ({ shard: 0, index: new ClaimIndex(1) }),
       newId: () => String(this._ids++),
--- a/packages/core/src/claims/responseStore.ts
+++ b/packages/core/src/claims/responseStore.ts
@@ -10,7 +10,7 @@
  * `outcome_unknown` instead of running again.
  */
 
-import type { ServeResult } from '../procedures/served.js';
+import type { ServeResult } from '../procedures/serveResult.js';
 
 /** Local state of a key. `body` is the digest of the request body. */
 export type KeyState =
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -47,7 +47,7 @@
 export * from './procedures/runAttempts.js';
 export * from './procedures/runProcedure.js';
 export * from './procedures/serveCall.js';
-export * from './procedures/served.js';
+export * from './procedures/serveResult.js';
 export * from './procedures/settleCall.js';
 export * from './procedures/submitPatch.js';
 export * from './procedures/suspectChoice.js';
--- a/packages/core/src/procedures/acceptedOffers.ts
+++ b/packages/core/src/procedures/acceptedOffers.ts
@@ -33,13 +33,13 @@
   /** Latest offer of each open connection; `unsettled` is undefined if the offer may run twice or was refused. */
   private readonly _open = new Map<C, { from: string; unsettled: UnsettledOffer | undefined }>();
   /** Offers of closed connections. */
-  private _ended: UnsettledOffer[] = [];
+  private _closed: UnsettledOffer[] = [];
   /** Senders that know that this daemon is leaving and have no open offers. */
   private readonly _released = new Set<string>();
 
   /** Daemons that sent offers and have not reported that none are open. */
   get senders(): string[] {
-    const all = [...this._open.values(), ...this._ended].map(({ from }) => from);
+    const all = [...this._open.values(), ...this._closed].map(({ from }) => from);
     return [...new Set(all)].filter((from) => from !== '' && !this._released.has(from));
   }
 
@@ -56,16 +56,16 @@
     if (known?.unsettled?.attempt === attempt) {
       known.unsettled = undefined;
     }
-    this._ended = this._ended.filter((offer) => offer.attempt !== attempt);
+    this._closed = this._closed.filter((offer) => offer.attempt !== attempt);
   }
 
   /** Records that a connection closed. */
   closed(connection: C, now: number): void {
     const unsettled = this._open.get(connection)?.unsettled;
     this._open.delete(connection);
-    this._ended = this._ended.filter((offer) => isListed(offer, now));
+    this._closed = this._closed.filter((offer) => isListed(offer, now));
     if (unsettled) {
-      this._ended.push(unsettled);
+      this._closed.push(unsettled);
     }
   }
 
@@ -77,8 +77,8 @@
   /** Proof for the last record, once this daemon accepts no offers; undefined when there are too many offers to list. */
   leaveProof(now: number): LeaveProof | undefined {
     const open = [...this._open.values()].flatMap(({ unsettled }) => unsettled ?? []);
-    const named = [...open, ...this._ended].filter((offer) => isListed(offer, now) && !this._released.has(offer.from));
-    return named.length <= kMaxListedOffers ? { unsettled: named.map(({ attempt }) => attempt) } : undefined;
+    const listed = [...open, ...this._closed].filter((offer) => isListed(offer, now) && !this._released.has(offer.from));
+    return listed.length <= kMaxListedOffers ? { unsettled: listed.map(({ attempt }) => attempt) } : undefined;
   }
 }
 
--- a/packages/core/src/procedures/attempt.ts
+++ b/packages/core/src/procedures/attempt.ts
@@ -9,7 +9,7 @@
 
 import type { ErrorKind, Outcome } from '../errors/errorKind.js';
 import type { Choice } from '../routing/targetPicker.js';
-import type { TargetResponse } from './served.js';
+import type { TargetResponse } from './serveResult.js';
 
 /** State of an attempt. It remains `offered` until a result arrives; the target may have started by then. */
 export type AttemptState =
--- a/packages/core/src/procedures/callContext.ts
+++ b/packages/core/src/procedures/callContext.ts
@@ -18,7 +18,7 @@
 import type { Suspects } from '../quarantine/suspects.js';
 import type { Suspicion } from '../quarantine/suspicion.js';
 import type { Payload } from './effects.js';
-import type { ServeResult } from './served.js';
+import type { ServeResult } from './serveResult.js';
 
 /** Key by which a call runs at most once. */
 export type CallKey =
@@ -85,8 +85,8 @@
   picker: TargetPicker;
   rootFilter: RootFilter;
   ledger: RetryLedger;
-  retryRatio: (service: string) => RetryTokenBucket;
-  answers: ResponseStore;
+  retryBucket: (service: string) => RetryTokenBucket;
+  responses: ResponseStore;
   settler: KeySettler;
   /** Shard of a key. `relay` is the address of the daemon that batches claims for the shard; undefined when that is the local daemon. */
   claimShard: (key: string) => { shard: number; index: ClaimIndex; relay?: string };
--- a/packages/core/src/procedures/effects.ts
+++ b/packages/core/src/procedures/effects.ts
@@ -14,7 +14,7 @@
 import type { Suspicion } from '../quarantine/suspicion.js';
 import type { Candidate } from '../routing/targetPicker.js';
 import type { KeyBid, KeyVerdict } from '../claims/keySettler.js';
-import type { TargetResponse, ServeResult } from './served.js';
+import type { TargetResponse, ServeResult } from './serveResult.js';
 
 /** A received request with its complete body. */
 export interface Payload {
--- a/packages/core/src/procedures/releaseClaim.ts
+++ b/packages/core/src/procedures/releaseClaim.ts
@@ -17,10 +17,10 @@
 }
 
 /** Releases an abandoned claim. The key stays blocked here until the release is read back. Returns whether it was released. */
-export function* releaseClaim(release: ClaimRelease, answers: ResponseStore): Procedure<boolean> {
+export function* releaseClaim(release: ClaimRelease, responses: ResponseStore): Procedure<boolean> {
   const { key, shard, claimant, address } = release;
-  const body = answers.get(key)?.body ?? '';
-  const nonce = answers.beginRelease(key);
+  const body = responses.get(key)?.body ?? '';
+  const nonce = responses.beginRelease(key);
   if (nonce === undefined) {
     return false;
   }
@@ -32,6 +32,6 @@
   if (read.kind === 'unavailable') {
     return false;
   }
-  answers.drop(key);
+  responses.drop(key);
   return true;
 }
--- a/packages/core/src/procedures/runAttempts.ts
+++ b/packages/core/src/procedures/runAttempts.ts
@@ -14,7 +14,7 @@
 import { type Call, offerTerms, type ServeContext, type ServedCall } from './callContext.js';
 import { chooseForSuspect } from './suspectChoice.js';
 import { type CallEvent, type OfferResult, perform, type Procedure } from './effects.js';
-import { type TargetResponse, errorResult, type ServeResult } from './served.js';
+import { type TargetResponse, errorResult, type ServeResult } from './serveResult.js';
 
 /** Number of refusals after which the call is not offered to another target. */
 const kMaxRefusals = 3;
@@ -33,7 +33,7 @@
   retries = 0;
   level = kOpenReport;
   final = false;
-  lastAnswer: TargetResponse | undefined;
+  lastResponse: TargetResponse | undefined;
   lastReason: ErrorKind = 'no_target';
 
   constructor(
@@ -62,7 +62,7 @@
 /** Runs a call whose right to run is settled. `allowance` is its share of the chain's retries. */
 export function* runAttempts(call: Call, ctx: ServeContext, allowance: number): Procedure<ServedCall> {
   const run = new CallRun(call, ctx, allowance);
-  ctx.retryRatio(call.cls.service).earn();
+  ctx.retryBucket(call.cls.service).earn();
   let offered = yield* offerAttempt(run, 'route');
   while (offered) {
     const event = yield* perform('awaitEvent', { until: nextTimeout(run) });
@@ -97,9 +97,9 @@
     run.level = candidates.length === 0 ? { level: 0, service: call.cls.service, absent: true } : run.level;
     return false;
   }
-  const lentAllowance = allowanceToLend(run);
-  const attempt: Attempt = { id: ctx.newId(), choice, allowance: lentAllowance, state: { kind: 'planned' } };
-  run.allowance -= lentAllowance;
+  const attemptAllowance = allowanceForAttempt(run);
+  const attempt: Attempt = { id: ctx.newId(), choice, allowance: attemptAllowance, state: { kind: 'planned' } };
+  run.allowance -= attemptAllowance;
   run.attempts.push(attempt);
   run.tried.add(choice.candidate.target);
   run.logDecision(step, choice.reason, attempt);
@@ -115,9 +115,9 @@
  * Allowance reserved for an attempt. A root request keeps one unit, because a lost response loses its share of the allowance; for
  * onward calls the parent's ledger entry holds this reserve.
  */
-function allowanceToLend(run: CallRun): number {
-  const reserve = run.call.chain.parent === undefined ? 1 : 0;
-  return Math.max(0, run.allowance - reserve);
+function allowanceForAttempt(run: CallRun): number {
+  const retained = run.call.chain.parent === undefined ? 1 : 0;
+  return Math.max(0, run.allowance - retained);
 }
 
 /** Monotonic time until which the call waits for the next event, in milliseconds. */
@@ -154,7 +154,7 @@
   if (result.kind !== 'answered') {
     return undefined;
   }
-  run.lastAnswer = result.answer;
+  run.lastResponse = result.answer;
   if (result.answer.status < kServerErrorStatus) {
     return { kind: 'answer', answer: result.answer };
   }
@@ -260,7 +260,7 @@
   if (!call.cls.idempotent || run.final || monotonicMs() >= call.deadline) {
     return false;
   }
-  if (!hasAllowance(run) || !ctx.retryRatio(call.cls.service).spend()) {
+  if (!hasAllowance(run) || !ctx.retryBucket(call.cls.service).spend()) {
     return false;
   }
   if (run.allowance > 0) {
@@ -301,12 +301,12 @@
 
 /** Result of a failed call: the last response of a target if there is one, otherwise an error. */
 function failureResult(run: CallRun): ServeResult {
-  if (run.lastAnswer) {
-    return { kind: 'answer', answer: run.lastAnswer };
+  if (run.lastResponse) {
+    return { kind: 'answer', answer: run.lastResponse };
   }
   const outcome = proveOutcome(run.attempts);
-  const mayTellNotRun = outcome === 'not_run' || errorResponse(run.lastReason).outcome !== 'not_run';
-  const error = mayTellNotRun ? run.lastReason : 'attempt_lost';
+  const mayReportNotRun = outcome === 'not_run' || errorResponse(run.lastReason).outcome !== 'not_run';
+  const error = mayReportNotRun ? run.lastReason : 'attempt_lost';
   return errorResult(error, outcome, `Gave up after ${run.attempts.length} offers.`);
 }
 
--- a/packages/core/src/procedures/serveCall.ts
+++ b/packages/core/src/procedures/serveCall.ts
@@ -13,7 +13,7 @@
 import type { Call, ServeContext, ServedCall } from './callContext.js';
 import type { Procedure } from './effects.js';
 import { runAttempts } from './runAttempts.js';
-import { errorResult, type ServeResult } from './served.js';
+import { errorResult, type ServeResult } from './serveResult.js';
 import { joinKnown, settleCall } from './settleCall.js';
 
 /** Serves a call and returns its result. A root request opens its chain; an onward call shares its parent's allowance. */
@@ -69,8 +69,8 @@
   if (ctx.stopping()) {
     return 'stopping';
   }
-  const narrowest = ctx.rootFilter.restrictingService(cls.name);
-  if (narrowest !== undefined && ctx.candidates(narrowest).length === 0) {
+  const restrictingService = ctx.rootFilter.restrictingService(cls.name);
+  if (restrictingService !== undefined && ctx.candidates(restrictingService).length === 0) {
     return 'no_target';
   }
   return ctx.rootFilter.admits(cls.name, rankOf(chain), now) ? undefined : 'overloaded';
@@ -96,12 +96,12 @@
 function recordResult(call: Call, ctx: ServeContext, key: string, nonce: string, served: ServeResult): void {
   const notRun = served.kind === 'error' && served.outcome === 'not_run';
   if (notRun) {
-    ctx.answers.abandon(key, { body: call.bodyDigest, nonce }, served);
+    ctx.responses.abandon(key, { body: call.bodyDigest, nonce }, served);
     return;
   }
   if (call.cls.idempotent && served.kind === 'error') {
-    ctx.answers.drop(key, served);
+    ctx.responses.drop(key, served);
     return;
   }
-  ctx.answers.record(key, served);
+  ctx.responses.record(key, served);
 }
--- a/packages/core/src/procedures/settleCall.ts
+++ b/packages/core/src/procedures/settleCall.ts
@@ -17,7 +17,7 @@
 import type { Call, ServeContext } from './callContext.js';
 import { claimInLog, type ClaimedInLog } from './claimInLog.js';
 import { type FetchResult, perform, type Procedure } from './effects.js';
-import { errorResult, type ServeResult } from './served.js';
+import { errorResult, type ServeResult } from './serveResult.js';
 
 /** The right to run a call under a nonce, or the call's result. */
 export type SettleResult = { kind: 'run'; nonce?: string } | { kind: 'done'; served: ServeResult };
@@ -28,9 +28,9 @@
   if (key.kind === 'none') {
     return { kind: 'run' };
   }
-  const state = ctx.answers.get(key.key);
+  const state = ctx.responses.get(key.key);
   const nonce = state?.kind === 'abandoned' ? state.nonce : ctx.newId();
-  ctx.answers.begin(key.key, call.bodyDigest);
+  ctx.responses.begin(key.key, call.bodyDigest);
   if (call.cls.idempotent) {
     return { kind: 'run', nonce };
   }
@@ -47,7 +47,7 @@
 /** Checks this daemon's own state of the key: a repeat joins the running call or returns its recorded result. */
 export function* joinKnown(call: Call, ctx: ServeContext): Procedure<ServeResult | undefined> {
   const key = keyText(call);
-  const state = ctx.answers.get(key);
+  const state = ctx.responses.get(key);
   if (!state) {
     return undefined;
   }
@@ -164,7 +164,7 @@
   const key = keyText(call);
   const fetched = yield* perform('fetchAnswer', { address, claimant, key, body: call.bodyDigest, until: call.deadline });
   const served = resultOfFetch(fetched);
-  ctx.answers.drop(key, served);
+  ctx.responses.drop(key, served);
   return { kind: 'done', served };
 }
 
@@ -189,14 +189,14 @@
  */
 function abandonCall(call: Call, ctx: ServeContext, nonce: string, error: ErrorKind, detail: string): SettleResult {
   const settled = refuse(call, ctx, error, detail);
-  ctx.answers.abandon(keyText(call), { body: call.bodyDigest, nonce }, settled.served);
+  ctx.responses.abandon(keyText(call), { body: call.bodyDigest, nonce }, settled.served);
   return settled;
 }
 
 /** Refuses a call that may not run under its key and removes the key's local state. */
 function dropCall(call: Call, ctx: ServeContext, error: ErrorKind, detail: string): SettleResult {
   const settled = refuse(call, ctx, error, detail);
-  ctx.answers.drop(keyText(call), settled.served);
+  ctx.responses.drop(keyText(call), settled.served);
   return settled;
 }
 
