--- a/packages/core/src/admission/adaptiveLimit.ts
+++ b/packages/core/src/admission/adaptiveLimit.ts
@@ -5,12 +5,13 @@
 
 /**
  * Adapts the concurrency limit of one target to its self time: the duration of a call without the time that the target
- * spends waiting for downstream calls. A slow downstream service therefore does not narrow the gates above it.
+ * spends waiting for downstream calls. A slow downstream service therefore does not narrow the limits of its callers.
  *
  * The limit starts at the announced slots. When self time grows, a trial narrows the limit, and reverts it if self time
  * does not shrink.
  */
 
+/** Minimum duration of a measurement window, in milliseconds, and its minimum number of completed calls. */
 const kWindowMs = 200;
 const kMinSamples = 8;
 /** Share of the limit that the peak concurrency of a window must reach for the window to change the limit. */
@@ -21,7 +22,7 @@
 const kMaxGrowthToWiden = 1.1;
 /** Factor applied to the limit by each narrowing step. */
 const kNarrowFactor = 0.85;
-/** Share by which a trial must reduce self time to be kept. */
+/** Share by which a trial must reduce self time for its narrower limit to be kept. */
 const kMinTrialGain = 0.1;
 /** Number of windows in which a trial narrows the limit. */
 const kTrialWindows = 3;
--- a/packages/core/src/admission/admissionLevel.ts
+++ b/packages/core/src/admission/admissionLevel.ts
@@ -71,7 +71,7 @@
     return this._level;
   }
 
-  /** Records an arrival and returns whether it is admitted. `depth` is the number of calls above it in the chain. */
+  /** Records an arrival and returns whether it is admitted. `depth` is the number of upstream calls in its chain. */
   admits(rank: number, depth: number, now: number): boolean {
     this._roll(now);
     this._counts[rank] = (this._counts[rank] ?? 0) + 1;
--- a/packages/core/src/admission/admissionQueue.ts
+++ b/packages/core/src/admission/admissionQueue.ts
@@ -14,7 +14,7 @@
 export interface QueuedCall {
   id: string;
   rank: number;
-  /** Number of calls above this one in the chain, whose work is lost when this call is shed. */
+  /** Number of upstream calls in the chain, whose work is lost when this call is shed. */
   depth: number;
   /** Deadline on the monotonic clock, in milliseconds. */
   deadline: number;
--- a/packages/core/src/admission/gate.ts
+++ b/packages/core/src/admission/gate.ts
@@ -77,7 +77,7 @@
     return this._limit.current(monotonicMs());
   }
 
-  /** Current admission level; open while the gate is closed. */
+  /** Current admission level; {@link kOpenLevel} while the gate is closed. */
   get level(): number {
     return this._closed ? kOpenLevel : this._level.current(monotonicMs());
   }
--- a/packages/core/src/admission/gateLevel.ts
+++ b/packages/core/src/admission/gateLevel.ts
@@ -22,8 +22,8 @@
  */
 const kGain = 0.8;
 /**
- * Minimum of the admitted share by which the gain is multiplied. At a high level, a step changes more of the admitted work, and
- * the full gain would make the level oscillate.
+ * The gain is multiplied by the admitted share, but at least by this factor. At a high level, a step changes a larger part of the
+ * admitted work, and the full gain would make the level oscillate.
  */
 const kMinGainShare = 0.25;
 /** Largest absolute excess that is taken into account, so that a short burst does not raise the level too far. */
--- a/packages/core/src/admission/rank.ts
+++ b/packages/core/src/admission/rank.ts
@@ -18,7 +18,7 @@
 /** Level that admits every rank. A call is admitted when its rank is below the level. */
 export const kOpenLevel = kImportances.length * kCohorts;
 
-/** Index of an importance, 0 for the most important. */
+/** Index of an importance; 0 is the most important. */
 export function importanceIndex(importance: Importance): number {
   return kImportances.indexOf(importance);
 }
@@ -27,10 +27,10 @@
   return call.importance * kCohorts + call.cohort;
 }
 
-/** Ranks above the level up to which a downstream call is admitted, because its chain has already done work. */
+/** Number of ranks above the level that are admitted for downstream calls, because their chains have already done work. */
 const kInvestedWorkSlack = kCohorts;
 
-/** Whether a call passes a level; `depth` is the number of calls above it in the chain. */
+/** Whether a call passes a level; `depth` is the number of upstream calls in its chain. */
 export function passesLevel(rank: number, depth: number, level: number): boolean {
   return rank < level + (depth > 0 ? kInvestedWorkSlack : 0);
 }
--- a/packages/core/src/admission/rootFilter.ts
+++ b/packages/core/src/admission/rootFilter.ts
@@ -7,8 +7,8 @@
  * Refuses requests where they enter if a downstream gate would shed them.
  *
  * Responses report the tightest admission level on their path and the service that set it. The filter keeps one level per
- * service, shared by all request classes, and for each class the service that restricted it last. A class that is refused
- * entirely therefore recovers by the responses to other classes.
+ * service, shared by all request classes, and for each class the service that restricted it last. A class whose
+ * requests are all refused therefore reopens when responses to other classes report a higher level.
  */
 
 import type { LevelReport } from './levelReport.js';
@@ -16,6 +16,7 @@
 
 /** Time constant with which a level follows the reports, in milliseconds. */
 const kSmoothingMs = 50;
+
 /** How the level of a service rises again without reports. */
 export interface ReopenPolicy {
   /** Time without a report on a service after which its level starts to rise, in milliseconds. */
--- a/packages/core/src/admission/slotGate.ts
+++ b/packages/core/src/admission/slotGate.ts
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Queues a call in place of the least urgent external request ahead of it, if that request is less urgent and the call can then
-   * start in time. Calls of targets are never displaced, because the work of their callers would be lost.
+   * Queues an external request in place of the least urgent one ahead of it, if that one is less urgent and the request can then
+   * start in time. Calls of targets are never displaced, because the work of their callers would be lost, and displace no others.
    */
   private _displace(call: T, position: number, now: number): { kind: 'queued' } | { kind: 'refused'; reason: GateRefusal } {
     const startsAt = now + (position * this._meanMs) / this.limit;
