--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Decision logic of the overload control layer, free of input and output. */
+/** Decision logic of the daemons: admission, routing, retries, claims, configuration and membership. It does no I/O. */
 
 export * from './admission/adaptiveLimit.js';
 export * from './admission/admissionLevel.js';
--- a/packages/core/src/procedures/acceptedOffers.ts
+++ b/packages/core/src/procedures/acceptedOffers.ts
@@ -13,7 +13,7 @@
 
 import type { LeaveProof } from '../membership/memberView.js';
 
-/** Maximum number of offers in a last record, which goes to every daemon. With more offers, the record contains no proof. */
+/** Maximum number of offers that the last record lists. With more offers, it contains no proof, because every daemon receives it. */
 const kMaxListedOffers = 50;
 /** Time for which an offer is listed after its deadline, in milliseconds, in case the sender's host was suspended. */
 const kListedAfterDeadlineMs = 60_000;
--- a/packages/core/src/procedures/attempt.ts
+++ b/packages/core/src/procedures/attempt.ts
@@ -11,7 +11,7 @@
 import type { Choice } from '../routing/targetPicker.js';
 import type { TargetResponse } from './serveResult.js';
 
-/** State of an attempt. It remains `offered` until a result arrives; the target may have started by then. */
+/** State of an attempt. It remains `offered` until a result arrives; the attempt may have started at the target by then. */
 export type AttemptState =
   | { kind: 'planned' }
   | { kind: 'offered' }
@@ -28,7 +28,7 @@
 export interface Attempt {
   id: string;
   choice: Choice;
-  /** Retry allowance reserved for the attempt. */
+  /** Retry allowance passed to the attempt. */
   allowance: number;
   state: AttemptState;
 }
--- a/packages/core/src/procedures/claimInLog.ts
+++ b/packages/core/src/procedures/claimInLog.ts
@@ -9,7 +9,7 @@
 import type { ClaimIndex } from '../claims/claimIndex.js';
 import { perform, type Procedure } from './effects.js';
 
-/** Holder of the key, or `unavailable` when the log did not reveal it. The claim may have been appended in that case too. */
+/** Holder of the key, or `unavailable` when it could not be determined. The claim may have been appended even then. */
 export type ClaimedInLog = { kind: 'holder'; holder: ClaimRecord } | { kind: 'unavailable'; detail: string };
 
 /** Claims a key in the log. Idempotent for the same nonce. */
--- a/packages/core/src/procedures/effects.ts
+++ b/packages/core/src/procedures/effects.ts
@@ -105,7 +105,7 @@
   appendClaim: { params: { shard: number; record: ClaimRecord }; reply: AppendResult };
   /** Reads a claims stream into its index: up to `upTo`, or to its current end. */
   readClaims: { params: { shard: number; upTo?: number }; reply: ReadResult };
-  /** Requests that the daemon that appends for a shard appends a claim and reads back the holder of the key. */
+  /** Has the daemon that batches claims for a shard append a claim, and returns the holder of the key. */
   relayClaim: { params: { to: string; shard: number; record: ClaimRecord }; reply: RelayResult };
   /** Queries the daemon that settles a key for the claimant that may run under it. */
   settleKey: {
@@ -130,7 +130,7 @@
   appendSnapshot: { params: object; reply: AppendResult };
   /** Queries known daemons and seeds for their configuration and members. */
   queryPeers: { params: object; reply: { answered: number } };
-  /** Appends the record of the local daemon to the members stream. */
+  /** Appends the local daemon's record to the members stream; `goodbye` marks the last record of a planned stop. */
   appendMember: { params: { goodbye: boolean }; reply: AppendResult };
   /** Sends a change of the local daemon's record to some daemons at once. */
   notifyPeers: { params: object; reply: undefined };
--- a/packages/core/src/procedures/gateCall.ts
+++ b/packages/core/src/procedures/gateCall.ts
@@ -27,7 +27,7 @@
   /** Name of the target behind the gate. */
   target: string;
   ledger: RetryLedger;
-  /** Admission levels that the target's onward calls meet. Calls that these would shed are refused here. */
+  /** Admission levels that the target's downstream calls reported. Calls whose downstream calls would be shed are refused here. */
   downstream: RootFilter;
   /** Received attempts. A duplicate delivery does not start the attempt again. */
   seenAttempts: { add: (attempt: string) => boolean };
@@ -107,7 +107,7 @@
 
 /**
  * Reason why a forwarded call provably did not run; undefined when it may have run. A response of 429 or 503 with `Retry-After` counts
- * as shedding only if the target made no onward call for it.
+ * as shedding only if the target made no downstream call for it.
  */
 function provenRefusal(result: ForwardResult, summary: LedgerSummary): ErrorKind | undefined {
   if (result.kind === 'lost' && !result.written) {
@@ -151,7 +151,7 @@
   };
 }
 
-/** Tightest admission level that calls of this class met downstream of the target. */
+/** Current admission level of the downstream service that last restricted calls of this class. */
 function downstreamLevel(terms: OfferTerms, ctx: GateContext): LevelReport {
   const service = ctx.downstream.restrictingService(terms.className);
   return service === undefined ? kOpenReport : { level: ctx.downstream.level(terms.className, monotonicMs()), service };
--- a/packages/core/src/procedures/lifecycle.ts
+++ b/packages/core/src/procedures/lifecycle.ts
@@ -60,8 +60,8 @@
 const kMaxSenderWaitMs = 2_000;
 
 /**
- * Stops without interrupting calls: announces the leave and refuses queued calls, waits for calls in flight and for senders without open
- * offers, then announces that the daemon has left. `cut` is the number of calls still in flight at the limit.
+ * Stops without interrupting calls: announces that the daemon is leaving, refuses queued calls, waits within limits until no call is in
+ * flight and no sender has open offers, then announces that the daemon has left. `cut` is the number of calls still in flight at the limit.
  */
 export function* plannedStop(ctx: StopContext): Procedure<{ cut: number }> {
   const startedAt = monotonicMs();
--- a/packages/core/src/procedures/runAttempts.ts
+++ b/packages/core/src/procedures/runAttempts.ts
@@ -59,7 +59,7 @@
   }
 }
 
-/** Runs a call whose right to run is settled. `allowance` is its share of the chain's retries. */
+/** Runs a call that has the right to run under its key. `allowance` is its share of the chain's retries. */
 export function* runAttempts(call: Call, ctx: ServeContext, allowance: number): Procedure<ServedCall> {
   const run = new CallRun(call, ctx, allowance);
   ctx.retryBucket(call.cls.service).earn();
@@ -112,8 +112,8 @@
 }
 
 /**
- * Allowance reserved for an attempt. A root request keeps one unit, because a lost response loses its share of the allowance; for
- * onward calls the parent's ledger entry holds this reserve.
+ * Allowance passed to an attempt. A root request retains one unit, because a lost response loses the allowance of its attempt. A
+ * downstream call retains none: it can take units from its parent's ledger entry.
  */
 function allowanceForAttempt(run: CallRun): number {
   const retained = run.call.chain.parent === undefined ? 1 : 0;
@@ -280,7 +280,7 @@
   return run.allowance > 0 || (parent !== undefined && run.ctx.ledger.remaining(parent) > 0);
 }
 
-/** Cancels open attempts. `awaited` waits for each reply whether the attempt started, which the outcome of an error depends on. */
+/** Cancels open attempts. With `awaited`, waits for each reply whether the attempt started, which decides the outcome of an error. */
 function* cancelOpen(run: CallRun, awaited: boolean): Procedure<undefined> {
   for (const attempt of run.open) {
     const reply = yield* perform('cancel', { attempt: attempt.id, to: attempt.choice.candidate, awaited });
--- a/packages/core/src/procedures/serveCall.ts
+++ b/packages/core/src/procedures/serveCall.ts
@@ -16,7 +16,7 @@
 import { errorResult, type ServeResult } from './serveResult.js';
 import { joinKnown, settleCall } from './settleCall.js';
 
-/** Serves a call and returns its result. A root request opens its chain; an onward call shares its parent's allowance. */
+/** Serves a call and returns its result. A root request opens its chain; a downstream call takes a share of its parent's allowance. */
 export function* serveCall(call: Call, ctx: ServeContext): Procedure<ServeResult> {
   const { parent, root } = call.chain;
   if (parent === undefined) {
@@ -85,7 +85,7 @@
   return { served, unspent, level: kOpenReport, final: refusal === 'overloaded' };
 }
 
-/** Limits a `not_run` to this try if the holder of the key was not settled: an earlier try may have run elsewhere. */
+/** Marks a `not_run` error as valid for this try only if the holder of the key was not settled: an earlier try may have run elsewhere. */
 function limitToThisTry(call: Call, served: ServeResult): ServeResult {
   const settledElsewhere = call.key.kind === 'own' || call.key.kind === 'minted';
   const unsettled = served.kind === 'error' && served.outcome === 'not_run' && served.error !== 'key_mismatch';
--- a/packages/core/src/procedures/settleCall.ts
+++ b/packages/core/src/procedures/settleCall.ts
@@ -6,8 +6,8 @@
 /**
  * Settles which daemon may run a keyed call, before its first run.
  *
- * For own keys, the first claim in the log decides. For minted and derived keys, one daemon decides from its memory. A daemon that
- * cannot prove its right does not run the call.
+ * For own keys, the first claim in the log decides. For minted and derived keys, one daemon decides from its in-memory state. A
+ * daemon that cannot prove its right to run the call does not run it.
  */
 
 import type { ClaimRecord } from '@gentiandrum/protocol';
--- a/packages/core/src/procedures/suspectChoice.ts
+++ b/packages/core/src/procedures/suspectChoice.ts
@@ -16,7 +16,7 @@
 export type SuspectChoice =
   /** Its request fingerprint is not suspected. */
   | { kind: 'free' }
-  /** It goes to the target where all daemons probe its fingerprint; `choice` is undefined when no such target is left. */
+  /** It goes to the target at which all daemons probe the fingerprint; `choice` is undefined when no target is left to choose. */
   | { kind: 'suspect'; choice: Choice | undefined; suspicion: Suspicion }
   | { kind: 'refused'; reason: 'suspected' | 'quarantined' };
 
