--- a/packages/core/src/errors/errorKind.ts
+++ b/packages/core/src/errors/errorKind.ts
@@ -3,9 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * The closed list of error kinds, and the table of the responses to them.
- */
+/** Error kinds and the responses to them. */
 
 /** What is known about the execution of a failed call. */
 export type Outcome = 'not_run' | 'unknown' | 'ran';
@@ -24,7 +22,7 @@
   title: string;
 }
 
-/** Error kind → response. */
+/** Response to each error kind. */
 export const kErrorResponses = {
   bad_request: { status: 400, outcome: 'not_run', repeat: false, retryAfter: false, title: 'Malformed request' },
   bad_chain_token: { status: 400, outcome: 'not_run', repeat: false, retryAfter: false, title: 'Chain token forged or truncated' },
