--- a/packages/core/src/config/configFold.ts
+++ b/packages/core/src/config/configFold.ts
@@ -4,7 +4,7 @@
  */
 
 /**
- * The configuration as a fold over the stream of patches.
+ * Computes the configuration from the stream of patches.
  *
  * Every daemon folds the same records in the same order with the same rules, so all daemons reach the same version without further
  * coordination. A patch is accepted when its base is the current version and the result is valid.
