--- a/packages/core/src/config/configFold.ts
+++ b/packages/core/src/config/configFold.ts
@@ -39,7 +39,7 @@
   /** Configuration without defaults, which patches apply to. */
   private _written: unknown = {};
   private _config: Config = configSchema.parse({});
-  private _recent = new Map<string, PatchVerdict>();
+  private _recentVerdicts = new Map<string, PatchVerdict>();
   private _history: HistoryEntry[] = [];
   private _lastAuthor = '';
 
@@ -70,7 +70,7 @@
 
   /** Verdict on a patch; undefined when it is not folded yet or no longer stored. */
   verdict(patchId: string): PatchVerdict | undefined {
-    return this._recent.get(patchId);
+    return this._recentVerdicts.get(patchId);
   }
 
   /**
@@ -82,7 +82,7 @@
     }
     this._next = offset + 1;
     const parsed = patchRecordSchema.safeParse(value);
-    if (!parsed.success || this._recent.has(parsed.data.patchId)) {
+    if (!parsed.success || this._recentVerdicts.has(parsed.data.patchId)) {
       return false;
     }
     const { patchId, base, patch, author } = parsed.data;
@@ -111,7 +111,7 @@
 
   /** Returns the state as a snapshot record; `hash` computes the digest of its JSON text. */
   snapshot(hash: (text: string) => string): SnapshotRecord {
-    const recentPatches = [...this._recent].map(([patchId, verdict]) => ({ patchId, verdict }));
+    const recentPatches = [...this._recentVerdicts].map(([patchId, verdict]) => ({ patchId, verdict }));
     const body = { offset: this._next, version: this._version, config: this._written, recentPatches };
     return { ...body, digest: hash(JSON.stringify(body)) };
   }
@@ -137,7 +137,7 @@
     this._version = body.version;
     this._written = body.config;
     this._config = config.data;
-    this._recent = new Map(body.recentPatches.map(({ patchId, verdict }) => [patchId, verdict as PatchVerdict]));
+    this._recentVerdicts = new Map(body.recentPatches.map(({ patchId, verdict }) => [patchId, verdict as PatchVerdict]));
     return versionChanged;
   }
 
@@ -152,10 +152,10 @@
   }
 
   private _storeVerdict(patchId: string, verdict: PatchVerdict): void {
-    this._recent.set(patchId, verdict);
-    const oldest = this._recent.keys().next();
-    if (this._recent.size > kMaxRecentPatches && !oldest.done) {
-      this._recent.delete(oldest.value);
+    this._recentVerdicts.set(patchId, verdict);
+    const oldest = this._recentVerdicts.keys().next();
+    if (this._recentVerdicts.size > kMaxRecentPatches && !oldest.done) {
+      this._recentVerdicts.delete(oldest.value);
     }
   }
 }
--- a/tests/config/fold.spec.ts
+++ b/tests/config/fold.spec.ts
@@ -72,10 +72,10 @@
     fc.assert(
       fc.property(fc.array(patch, { maxLength: 25 }), fc.array(step, { maxLength: 40 }), (patches, steps) => {
         const log = patches.map(({ id, base, ratio }) => record(String(id), base, { retryRatio: ratio / 100 }));
-        const whole = new ConfigFold();
+        const expected = new ConfigFold();
         const snapshots = log.map((value, offset) => {
-          whole.apply(offset, value);
-          return whole.snapshot(digest);
+          expected.apply(offset, value);
+          return expected.snapshot(digest);
         });
         const fold = new ConfigFold();
         let version = 0;
@@ -93,7 +93,7 @@
         while (fold.next < log.length) {
           fold.apply(fold.next, log[fold.next]);
         }
-        return JSON.stringify([fold.version, fold.written]) === JSON.stringify([whole.version, whole.written]);
+        return JSON.stringify([fold.version, fold.written]) === JSON.stringify([expected.version, expected.written]);
       }),
       { seed: kSeed, numRuns: 500 },
     );
