--- a/tests/admission/gate.spec.ts
+++ b/tests/admission/gate.spec.ts
@@ -119,8 +119,8 @@
     const arrival = fc.record({
       importance: fc.nat(3),
       cohort: fc.nat(kCohorts - 1),
-      gap: fc.nat(20),
-      life: fc.integer({ min: 10, max: 400 }),
+      gapMs: fc.nat(20),
+      remainingMs: fc.integer({ min: 10, max: 400 }),
     });
     fc.assert(
       fc.property(fc.array(arrival, { minLength: 20, maxLength: 200 }), (arrivals) => {
@@ -141,13 +141,16 @@
             },
           };
           const gate = new Gate(2, () => 'goodput', events, kWarm);
-          arrivals.forEach(({ importance, cohort, gap, life }, i) => {
-            clock.tick(gap);
+          arrivals.forEach(({ importance, cohort, gapMs, remainingMs }, i) => {
+            clock.tick(gapMs);
             const ended = i % 3 === 0 ? running.shift() : undefined;
             if (ended !== undefined) {
               gate.callEnded(ended, { kind: 'completed', totalMs: 30, selfMs: 30 });
             }
-            const offered = call(String(i), importance, { rank: rankOf({ importance, cohort }), deadline: performance.now() + life });
+            const offered = call(String(i), importance, {
+              rank: rankOf({ importance, cohort }),
+              deadline: performance.now() + remainingMs,
+            });
             waiting.set(offered.id, offered);
             const decision = gate.offer(offered);
             if (decision.kind !== 'queued') {
