--- a/packages/core/src/admission/gateLevel.ts
+++ b/packages/core/src/admission/gateLevel.ts
@@ -4,10 +4,10 @@
  */
 
 /**
- * Share of the external requests that a gate asks entry daemons to reject, because it receives more work than it can run.
+ * Share of the external requests that daemons should reject on entry, because a gate receives more work than it can run.
  *
- * An integral controller on the offered work: completed work, refused work and the growth of the queue. It settles where
- * the offered work matches the capacity of the slots, with a short queue that keeps them busy.
+ * The level is set by an integral controller on the offered work: completed work, refused work and the growth of the queue. It settles
+ * where the offered work matches the capacity of the slots, with a short queue that keeps them busy.
  */
 
 /** Desired queue wait, as a share of the time that calls may wait. */
