--- a/packages/core/src/procedures/admitRequest.ts
+++ b/packages/core/src/procedures/admitRequest.ts
@@ -59,7 +59,7 @@
   | { kind: 'quota_unknown'; route: Route; workspace: string; retryAfterMs: number }
   | { kind: 'shed'; route: Route; workspace: RequestWorkspace | undefined; retryAfterMs: number };
 
-/** Services that the procedure uses. */
+/** Functions of the daemon that the procedure uses. */
 export interface AdmitContext {
   tables(): RoutingTables | undefined;
   /** Monotonic time until which the configuration may be used to look up keys, in milliseconds. */
--- a/packages/core/src/procedures/callContext.ts
+++ b/packages/core/src/procedures/callContext.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Data and services of the procedures that serve a call. */
+/** Data and dependencies of the procedures that serve a call. */
 
 import type { OfferTerms } from '@gentiandrum/protocol';
 import type { LevelReport } from '../admission/levelReport.js';
--- a/packages/core/src/procedures/routeRequest.ts
+++ b/packages/core/src/procedures/routeRequest.ts
@@ -59,7 +59,7 @@
   | { kind: 'not_run'; reason: NotRunReason | 'no_target'; retryAfterMs: number }
   | { kind: 'lost'; reason: string };
 
-/** Services that the procedure uses while it runs. */
+/** Functions of the daemon that the procedure uses while it runs. */
 export interface RouteContext {
   choose(excluded: ReadonlySet<string>): TargetRecord | undefined;
   /** Current verdict on the request fingerprint. It may change with each offer. */
