--- a/packages/core/src/admission/gateLevel.ts
+++ b/packages/core/src/admission/gateLevel.ts
@@ -4,10 +4,10 @@
  */
 
 /**
- * Share of the external requests that a gate asks entry daemons to reject, because it receives more work than it can run.
+ * Share of the external requests that daemons should reject on entry, because a gate receives more work than it can run.
  *
- * An integral controller on the offered work: completed work, refused work and the growth of the queue. It settles where
- * the offered work matches the capacity of the slots, with a short queue that keeps them busy.
+ * The level is set by an integral controller on the offered work: completed work, refused work and the growth of the queue. It settles
+ * where the offered work matches the capacity of the slots, with a short queue that keeps them busy.
  */
 
 /** Desired queue wait, as a share of the time that calls may wait. */
@@ -22,8 +22,8 @@
  */
 const kGain = 0.8;
 /**
- * Minimum of the admitted share by which the gain is multiplied. At a high level, a step changes more of the admitted work, and
- * the full gain would make the level oscillate.
+ * The gain is multiplied by the admitted share, but at least by this factor. At a high level, a step changes a larger part of the
+ * admitted work, and the full gain would make the level oscillate.
  */
 const kMinGainShare = 0.25;
 /** Largest absolute excess that is taken into account, so that a short burst does not raise the level too far. */
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Decision logic of the overload control layer, free of input and output. */
+/** Decision logic of the daemons: admission, routing, retries, claims, configuration and membership. It does no I/O. */
 
 export * from './admission/adaptiveLimit.js';
 export * from './admission/admissionLevel.js';
@@ -47,7 +47,7 @@
 export * from './procedures/runAttempts.js';
 export * from './procedures/runProcedure.js';
 export * from './procedures/serveCall.js';
-export * from './procedures/served.js';
+export * from './procedures/serveResult.js';
 export * from './procedures/settleCall.js';
 export * from './procedures/submitPatch.js';
 export * from './procedures/suspectChoice.js';
--- a/packages/core/src/procedures/serveCall.ts
+++ b/packages/core/src/procedures/serveCall.ts
@@ -13,10 +13,10 @@
 import type { Call, ServeContext, ServedCall } from './callContext.js';
 import type { Procedure } from './effects.js';
 import { runAttempts } from './runAttempts.js';
-import { errorResult, type ServeResult } from './served.js';
+import { errorResult, type ServeResult } from './serveResult.js';
 import { joinKnown, settleCall } from './settleCall.js';
 
-/** Serves a call and returns its result. A root request opens its chain; an onward call shares its parent's allowance. */
+/** Serves a call and returns its result. A root request opens its chain; a downstream call takes a share of its parent's allowance. */
 export function* serveCall(call: Call, ctx: ServeContext): Procedure<ServeResult> {
   const { parent, root } = call.chain;
   if (parent === undefined) {
@@ -69,8 +69,8 @@
   if (ctx.stopping()) {
     return 'stopping';
   }
-  const narrowest = ctx.rootFilter.restrictingService(cls.name);
-  if (narrowest !== undefined && ctx.candidates(narrowest).length === 0) {
+  const restrictingService = ctx.rootFilter.restrictingService(cls.name);
+  if (restrictingService !== undefined && ctx.candidates(restrictingService).length === 0) {
     return 'no_target';
   }
   return ctx.rootFilter.admits(cls.name, rankOf(chain), now) ? undefined : 'overloaded';
@@ -85,7 +85,7 @@
   return { served, unspent, level: kOpenReport, final: refusal === 'overloaded' };
 }
 
-/** Limits a `not_run` to this try if the holder of the key was not settled: an earlier try may have run elsewhere. */
+/** Marks a `not_run` error as valid for this try only if the holder of the key was not settled: an earlier try may have run elsewhere. */
 function limitToThisTry(call: Call, served: ServeResult): ServeResult {
   const settledElsewhere = call.key.kind === 'own' || call.key.kind === 'minted';
   const unsettled = served.kind === 'error' && served.outcome === 'not_run' && served.error !== 'key_mismatch';
@@ -96,12 +96,12 @@
 function recordResult(call: Call, ctx: ServeContext, key: string, nonce: string, served: ServeResult): void {
   const notRun = served.kind === 'error' && served.outcome === 'not_run';
   if (notRun) {
-    ctx.answers.abandon(key, { body: call.bodyDigest, nonce }, served);
+    ctx.responses.abandon(key, { body: call.bodyDigest, nonce }, served);
     return;
   }
   if (call.cls.idempotent && served.kind === 'error') {
-    ctx.answers.drop(key, served);
+    ctx.responses.drop(key, served);
     return;
   }
-  ctx.answers.record(key, served);
+  ctx.responses.record(key, served);
 }
