--- a/packages/daemon/src/app/callService.ts
+++ b/packages/daemon/src/app/callService.ts
@@ -85,7 +85,7 @@
 /** Runs the call procedure for each request and performs its effects. */
 export class CallService {
   readonly settler = new KeySettler();
-  readonly answers: ResponseStore;
+  readonly responses: ResponseStore;
   private readonly _ids: IdGenerator;
   private readonly _retryBuckets = new Map<string, RetryTokenBucket>();
   private readonly _ordinals = new Map<string, Map<string, number>>();
@@ -99,7 +99,7 @@
     private _cfg: Config,
   ) {
     this._ids = new IdGenerator(_deps.daemon.id, _deps.daemon.incarnation);
-    this.answers = new ResponseStore(_deps.answerBytes);
+    this.responses = new ResponseStore(_deps.answerBytes);
     this._classifier = new Classifier(_cfg);
     this._ctx = this._makeContext();
   }
@@ -150,7 +150,7 @@
     const { daemon, claims } = this._deps;
     const { shard } = claims.shardOf(key);
     const release = { key, shard, claimant: `${daemon.id}/${daemon.incarnation}`, address: daemon.address };
-    return runProcedure(releaseClaim(release, this.answers), {
+    return runProcedure(releaseClaim(release, this.responses), {
       appendClaim: (effect) => claims.append(effect.shard, effect.record),
       readClaims: (effect) => claims.read(effect.shard, effect.upTo),
     });
@@ -172,8 +172,8 @@
   }
 
   private _recordMetrics(call: Call, served: ServeResult, ms: number): void {
-    const end = served.kind === 'answer' ? String(served.answer.status) : served.error;
-    const tags = { class: call.cls.name, service: call.cls.service, end };
+    const resultTag = served.kind === 'answer' ? String(served.answer.status) : served.error;
+    const tags = { class: call.cls.name, service: call.cls.service, end: resultTag };
     this._deps.metrics.count('request', tags);
     this._deps.metrics.timing('request.ms', ms, tags);
   }
@@ -204,8 +204,8 @@
   }
 
   private _deadline(cls: NamedClass, req: IncomingRequest): number {
-    const byChain = req.chain ? req.chain.deadline - wallMs() : Infinity;
-    return monotonicMs() + Math.min(cls.deadlineMs, req.timeoutMs ?? Infinity, byChain);
+    const chainRemainingMs = req.chain ? req.chain.deadline - wallMs() : Infinity;
+    return monotonicMs() + Math.min(cls.deadlineMs, req.timeoutMs ?? Infinity, chainRemainingMs);
   }
 
   private _chainPositionOf(id: string, cls: NamedClass, { chain: token, payload }: IncomingRequest): ChainPosition {
@@ -297,7 +297,7 @@
         },
         Math.max(0, until - monotonicMs()),
       );
-      const stop = this.answers.wait(key, (served) => {
+      const stop = this.responses.wait(key, (served) => {
         clearTimeout(timer);
         resolve(served);
       });
@@ -317,7 +317,7 @@
       ledger,
       rootFilter: new RootFilter(() => this._cfg.overload.favour),
       retryRatio: (service) => this._retryBucketOf(service),
-      answers: this.answers,
+      answers: this.responses,
       settler: this.settler,
       claimShard: (key) => claims.shardOf(key),
       newId: () => this._ids.next(),
--- a/packages/daemon/src/app/callSession.ts
+++ b/packages/daemon/src/app/callSession.ts
@@ -93,14 +93,14 @@
       return { kind: this._deps.offers.cancel(attempt) };
     }
     const req = { method: 'POST', path: `/-/cancel/${encodeURIComponent(attempt)}`, headers: {}, body: new Uint8Array() };
-    const end = await exchange(this._deps.pools.get(`http://${to.address}`), req, 1_024, kCancelTimeoutMs);
+    const result = await exchange(this._deps.pools.get(`http://${to.address}`), req, 1_024, kCancelTimeoutMs);
     const httpExchange = this._exchanges.get(attempt);
     this._exchanges.delete(attempt);
     httpExchange?.abort();
-    if (end.kind !== 'answered' || end.status !== 200) {
+    if (result.kind !== 'answered' || result.status !== 200) {
       return { kind: 'unknown' };
     }
-    return { kind: end.body.toString() === 'before_start' ? 'before_start' : 'started' };
+    return { kind: result.body.toString() === 'before_start' ? 'before_start' : 'started' };
   }
 
   private _send(attempt: string, to: Candidate, terms: OfferTerms, payload: Payload): void {
@@ -110,13 +110,13 @@
     const offer = JSON.stringify({ terms, method, path, headers, from: selfId });
     const req = { method: 'POST', path: '/-/offer', headers: { [kOfferHeader]: offer, 'content-type': 'application/octet-stream' }, body };
     openOffers.sent(to.daemon);
-    const httpExchange = new HttpExchange(this._deps.pools.get(`http://${to.address}`), req, kMaxResponseBytes, (end) => {
+    const httpExchange = new HttpExchange(this._deps.pools.get(`http://${to.address}`), req, kMaxResponseBytes, (result) => {
       const awaited = this._exchanges.delete(attempt);
       openOffers.ended(to.daemon);
-      if (end.kind === 'lost' && end.written && awaited && !terms.idempotent) {
-        void this._onOfferLost(attempt, to, end, deadline);
+      if (result.kind === 'lost' && result.written && awaited && !terms.idempotent) {
+        void this._onOfferLost(attempt, to, result, deadline);
       } else {
-        this._push({ kind: 'ended', attempt, result: offerResultOf(end) });
+        this._push({ kind: 'ended', attempt, result: offerResultOf(result) });
       }
     });
     this._exchanges.set(attempt, httpExchange);
@@ -129,12 +129,12 @@
   private async _onOfferLost(
     attempt: string,
     to: Candidate,
-    end: Extract<ExchangeResult, { kind: 'lost' }>,
+    result: Extract<ExchangeResult, { kind: 'lost' }>,
     deadline: number,
   ): Promise<void> {
     const neverAccepted = await this._deps.neverAccepted(to, attempt);
     const written = !neverAccepted || monotonicMs() >= deadline;
-    this._push({ kind: 'ended', attempt, result: { ...end, written } });
+    this._push({ kind: 'ended', attempt, result: { ...result, written } });
   }
 
   private _push(event: CallEvent): void {
@@ -147,12 +147,12 @@
 }
 
 /** Decodes the gate's response. A response without a verdict counts as lost. */
-function offerResultOf(end: ExchangeResult): OfferResult {
-  if (end.kind === 'lost') {
-    return end;
+function offerResultOf(result: ExchangeResult): OfferResult {
+  if (result.kind === 'lost') {
+    return result;
   }
-  const header = end.kind === 'answered' && end.status === 200 ? end.headers[kVerdictHeader] : undefined;
-  if (end.kind !== 'answered' || typeof header !== 'string') {
+  const header = result.kind === 'answered' && result.status === 200 ? result.headers[kVerdictHeader] : undefined;
+  if (result.kind !== 'answered' || typeof header !== 'string') {
     return { kind: 'lost', written: true };
   }
   const { unspent, level, retriedBelow, load, limit, kind, reason, status, headers, suspicion } = offerVerdictSchema.parse(
@@ -162,7 +162,7 @@
   const errorKind = reason !== undefined && isErrorKind(reason) ? reason : 'target_failed';
   switch (kind) {
     case 'answered':
-      return { kind, answer: { status: status ?? 502, headers: headers ?? {}, body: end.body }, retriedBelow, ...common };
+      return { kind, answer: { status: status ?? 502, headers: headers ?? {}, body: result.body }, retriedBelow, ...common };
     case 'refused':
       return { kind, reason: errorKind, ...common, ...(suspicion ? { suspicion } : {}) };
     case 'failed':
--- a/packages/daemon/src/app/configService.ts
+++ b/packages/daemon/src/app/configService.ts
@@ -233,7 +233,7 @@
   }
 
   /** Rank of this daemon by hashed id among the alive daemons of a group; all daemons compute the same order. */
-  private _rank(isInGroup: (of: { zone: string }) => boolean): number {
+  private _rank(isInGroup: (member: { zone: string }) => boolean): number {
     const { self } = this._view;
     const selfHash = hash32(self.id);
     const others = this._view.all().filter((other) => other.id !== self.id && other.state === 'alive' && isInGroup(other));
--- a/packages/daemon/src/app/daemon.ts
+++ b/packages/daemon/src/app/daemon.ts
@@ -333,7 +333,7 @@
     metrics.gauge('config.version', this.config.fold.version);
     metrics.gauge('requests.in_flight', this.calls.inFlight);
     metrics.gauge('claims.remembered', this.claims.size);
-    metrics.gauge('answers.bytes', this.calls.answers.bytes);
+    metrics.gauge('answers.bytes', this.calls.responses.bytes);
     metrics.gauge('control.bytes', this.meter.bytes);
     if (gate) {
       metrics.gauge('gate.limit', gate.limit);
--- a/packages/daemon/src/app/offerService.ts
+++ b/packages/daemon/src/app/offerService.ts
@@ -174,15 +174,15 @@
     const pool = this._deps.pools.get(announcement.url, announcement.connections);
     return new Promise((resolve) => {
       let abortReason: 'timeout' | 'cancelled' | undefined;
-      const done = (end: ExchangeResult): void => {
+      const done = (result: ExchangeResult): void => {
         clearTimeout(timer);
         this._forwarding.delete(attempt);
-        void this._finishForward(attempt, end, abortReason).then(resolve);
+        void this._finishForward(attempt, result, abortReason).then(resolve);
       };
-      const running = new HttpExchange(pool, { ...payload, headers }, this._deps.maxBodyBytes, done);
+      const httpExchange = new HttpExchange(pool, { ...payload, headers }, this._deps.maxBodyBytes, done);
       const stop = (reason: 'timeout' | 'cancelled'): void => {
         abortReason = reason;
-        running.abort();
+        httpExchange.abort();
       };
       const timer = setTimeout(stop, remainingMs, 'timeout');
       this._forwarding.set(attempt, {
@@ -196,18 +196,18 @@
   /** Updates the suspicion of the call's fingerprint, then returns the result of the run. */
   private async _finishForward(
     attempt: string,
-    end: ExchangeResult,
+    result: ExchangeResult,
     abortReason: 'timeout' | 'cancelled' | undefined,
   ): Promise<ForwardResult> {
     const { suspects } = this._deps;
     // A failed response doesn't clear the fingerprint: the call may have failed before the work that crashes the target.
-    if (end.kind === 'answered' && end.status < 500) {
+    if (result.kind === 'answered' && result.status < 500) {
       suspects.completed(attempt);
     }
-    if (!abortReason && (end.kind === 'truncated' || (end.kind === 'lost' && end.written))) {
+    if (!abortReason && (result.kind === 'truncated' || (result.kind === 'lost' && result.written))) {
       await suspects.onConnectionLost();
     }
-    return forwardResultOf(end, abortReason);
+    return forwardResultOf(result, abortReason);
   }
 
   private _headersFor(terms: OfferTerms, payload: Payload, remainingMs: number): Record<string, string | string[]> {
@@ -244,15 +244,15 @@
   return suspicion ? { ...result, suspicion } : result;
 }
 
-function forwardResultOf(end: ExchangeResult, abortReason: 'timeout' | 'cancelled' | undefined): ForwardResult {
-  switch (end.kind) {
+function forwardResultOf(result: ExchangeResult, abortReason: 'timeout' | 'cancelled' | undefined): ForwardResult {
+  switch (result.kind) {
     case 'answered':
-      return { kind: 'answered', answer: { status: end.status, headers: end.headers, body: end.body } };
+      return { kind: 'answered', answer: { status: result.status, headers: result.headers, body: result.body } };
     case 'truncated':
       return { kind: 'truncated' };
     case 'too_large':
       return { kind: 'too_large' };
     case 'lost':
-      return abortReason && end.written ? { kind: abortReason } : { kind: 'lost', written: end.written };
+      return abortReason && result.written ? { kind: abortReason } : { kind: 'lost', written: result.written };
   }
 }
--- a/packages/daemon/src/app/suspectOffers.ts
+++ b/packages/daemon/src/app/suspectOffers.ts
@@ -20,7 +20,7 @@
   wallMs,
 } from '@gentiandrum/core';
 import type { OfferTerms } from '@gentiandrum/protocol';
-import { probeTarget } from '../client/targetProbe.js';
+import { checkConnection } from '../client/connectionCheck.js';
 import type { Logger } from './logger.js';
 
 /** Share of an offer's remaining time for which it may wait for requests with the same fingerprint. */
@@ -145,7 +145,7 @@
 
   private async _checkForCrash(name: string, url: string): Promise<boolean> {
     const running = [...this._running];
-    if ((await probeTarget(url)) !== 'refused') {
+    if ((await checkConnection(url)) !== 'refused') {
       return false;
     }
     await new Promise((resolve) => setTimeout(resolve, kDrainMs));
--- a/packages/daemon/src/app/suspectService.ts
+++ b/packages/daemon/src/app/suspectService.ts
@@ -59,11 +59,11 @@
     switch (event.kind) {
       case 'quarantined': {
         const { fingerprint, route } = event.suspicion;
-        const ends = crashesOf(event.suspicion);
-        this._logger.warn('quarantine', `Quarantined a request fingerprint: ${ends} targets crashed with such a request in flight.`, {
+        const crashCount = crashesOf(event.suspicion);
+        this._logger.warn('quarantine', `Quarantined a request fingerprint: ${crashCount} targets crashed with such a request in flight.`, {
           kind: fingerprint,
           cls: route,
-          ends,
+          ends: crashCount,
         });
         return;
       }
--- a/packages/daemon/src/client/targetProbe.ts
+++ b/packages/daemon/src/client/connectionCheck.ts
@@ -7,17 +7,17 @@
 
 import { connect } from 'node:net';
 
-const kProbeTimeoutMs = 1_000;
+const kConnectTimeoutMs = 1_000;
 
 /** Result of a connection attempt; `unknown` after a timeout or any error but a refusal. */
-export type ProbeResult = 'connected' | 'refused' | 'unknown';
+export type ConnectionCheckResult = 'connected' | 'refused' | 'unknown';
 
 /** Opens and closes one connection to an origin such as `http://10.1.2.3:80`. */
-export function probeTarget(url: string): Promise<ProbeResult> {
+export function checkConnection(url: string): Promise<ConnectionCheckResult> {
   const { hostname, port } = new URL(url);
   return new Promise((resolve) => {
-    const socket = connect({ host: hostname, port: Number(port), timeout: kProbeTimeoutMs });
-    const settle = (result: ProbeResult): void => {
+    const socket = connect({ host: hostname, port: Number(port), timeout: kConnectTimeoutMs });
+    const settle = (result: ConnectionCheckResult): void => {
       socket.destroy();
       resolve(result);
     };
--- a/packages/daemon/src/server/controlController.ts
+++ b/packages/daemon/src/server/controlController.ts
@@ -14,7 +14,7 @@
 const kMicrosPerMs = 1_000;
 
 /** State of a daemon, and the members that it knows. */
-export interface StatusReport {
+export interface StatusResponse {
   daemon: string;
   zone: string;
   version: number;
@@ -31,7 +31,7 @@
 }
 
 /** A daemon's report about itself alone. */
-export interface SelfReport {
+export interface SelfResponse {
   id: string;
   version: number;
   level: number;
@@ -102,7 +102,7 @@
 
   /** Returns the state of this daemon, and the members that it knows. */
   @Get('status')
-  status(): StatusReport {
+  status(): StatusResponse {
     const { settings, config, members, target, meter, stopping } = this._daemon;
     const { gate } = target;
     return {
@@ -122,7 +122,7 @@
 
   /** Returns the state that only this daemon knows; the command-line client requests it from every daemon. */
   @Get('self')
-  self(): SelfReport {
+  self(): SelfResponse {
     const { settings, config, target } = this._daemon;
     return { id: settings.id, version: config.fold.version, level: target.gate?.level ?? kOpenLevel };
   }
--- a/packages/daemon/src/server/main.ts
+++ b/packages/daemon/src/server/main.ts
@@ -36,7 +36,7 @@
   }
   const settings = loadSettings(file);
   if (settings.err) {
-    process.stderr.write(settings.val.map((fault) => `gentiandrumd: ${file}: ${formatSettingsError(fault)}\n`).join(''));
+    process.stderr.write(settings.val.map((error) => `gentiandrumd: ${file}: ${formatSettingsError(error)}\n`).join(''));
     process.exitCode = kExit.badSettings;
     return;
   }
--- a/packages/daemon/src/server/peerRoutes.ts
+++ b/packages/daemon/src/server/peerRoutes.ts
@@ -75,12 +75,12 @@
 
 async function fetchAnswer(daemon: Daemon, req: FetchAnswerRequest): Promise<ReturnType<typeof create<typeof FetchAnswerResponseSchema>>> {
   const { key, bodyDigest: body, claimant } = req;
-  const { answers } = daemon.calls;
+  const { responses } = daemon.calls;
   const self = `${daemon.settings.id}/${daemon.incarnation}`;
-  if (answers.get(key)?.kind === 'running') {
+  if (responses.get(key)?.kind === 'running') {
     await daemon.calls.joinRunning(key, monotonicMs() + req.waitMs);
   }
-  const found = lookUpResponse(answers, { key, body, claimant }, self);
+  const found = lookUpResponse(responses, { key, body, claimant }, self);
   switch (found.kind) {
     case 'recorded':
       return create(FetchAnswerResponseSchema, { state: AnswerState.RECORDED, ...encodeServeResult(found.served) });
