--- a/packages/cli/src/client/main.ts
+++ b/packages/cli/src/client/main.ts
@@ -61,7 +61,7 @@
   cli
     .command('release <kind>', 'Release a suspected or quarantined request fingerprint')
     .example('  gentiandrum release 1k2x9ab-7qz03f')
-    .action((kind: string, options: CommonOptions) => release(kind, options));
+    .action((fingerprint: string, options: CommonOptions) => release(fingerprint, options));
   return runCommand(cli, argv);
 }
 
