--- a/tests/e2e/faults.spec.ts
+++ b/tests/e2e/faults.spec.ts
@@ -78,8 +78,8 @@
 
   itSerial('should have a truncated response retried for a read, and reported as unknown for a hold', async (t) => {
     await Promise.all(['b1', 'b2'].map((id) => fleet.setBehaviour(id, { truncate: 1 })));
-    const cut = await send('a1', '/beta/holds', 'cut-hold', { method: 'POST' });
-    t.deepEqual([cut.kind, cut.outcome], ['answer_truncated', 'unknown']);
+    const truncated = await send('a1', '/beta/holds', 'cut-hold', { method: 'POST' });
+    t.deepEqual([truncated.kind, truncated.outcome], ['answer_truncated', 'unknown']);
     t.is(await fleet.totalRuns('cut-hold'), 1);
     t.is((await send('a1', '/beta/x', 'cut-read')).status, 200);
   });
--- a/tests/e2e/lethalCalls.spec.ts
+++ b/tests/e2e/lethalCalls.spec.ts
@@ -87,14 +87,14 @@
     const listed = await fleet.runCli(['suspects', '--json']);
     const { suspects } = JSON.parse(listed.out) as { suspects: { fingerprint: string; verdict: string }[] };
     t.is(suspects.length, 1);
-    const [held] = suspects;
-    t.is(held?.verdict, 'quarantined');
+    const [quarantined] = suspects;
+    t.is(quarantined?.verdict, 'quarantined');
     t.is((await fleet.runCli(['release', 'none'])).code, 1);
     await Promise.all(kTargets.map((id) => fleet.setBehaviour(id, { endsOn: '' })));
-    t.is((await fleet.runCli(['release', held?.fingerprint ?? ''])).code, 0);
+    t.is((await fleet.runCli(['release', quarantined?.fingerprint ?? ''])).code, 0);
     await until('the call to run everywhere', async () => {
-      const answers = await Promise.all(hosts.map((host) => call(host, '/beta/lethal/1')));
-      return answers.every(({ status }) => status === 200);
+      const results = await Promise.all(hosts.map((host) => call(host, '/beta/lethal/1')));
+      return results.every(({ status }) => status === 200);
     });
   });
 });
