--- a/packages/daemon/src/app/callService.ts
+++ b/packages/daemon/src/app/callService.ts
@@ -56,7 +56,7 @@
   chain: ChainToken | undefined;
 }
 
-/** A request that this daemon serves, or has refused. The owner of the connection calls `onCallerDisconnect` when it closes. */
+/** Id and result of a request. The owner of the connection must call `onCallerDisconnect` when the connection closes. */
 export interface AcceptedRequest {
   id: string;
   result: Promise<ServeResult>;
@@ -287,7 +287,7 @@
     };
   }
 
-  /** Waits for the running call of a key until `until` on the monotonic clock; undefined when it was abandoned or the time passed. */
+  /** Waits until `until` on the monotonic clock for the running call of a key; undefined if it is abandoned or still runs then. */
   joinRunning(key: string, until: number): Promise<ServeResult | undefined> {
     return new Promise((resolve) => {
       const timer = setTimeout(
--- a/packages/daemon/src/app/callSession.ts
+++ b/packages/daemon/src/app/callSession.ts
@@ -60,7 +60,7 @@
     return Promise.resolve(undefined);
   }
 
-  /** Waits for the next event until `until` on the monotonic clock. */
+  /** Waits for the next event; resolves to a `timeout` event at `until` on the monotonic clock. */
   awaitEvent(until: number): Promise<CallEvent> {
     const event = this._events.shift();
     if (event) {
@@ -82,7 +82,7 @@
     });
   }
 
-  /** Cancels an attempt. Replies whether it had started if `awaited`, else `unknown` at once. */
+  /** Cancels an attempt. Resolves to whether it had started if `awaited`, otherwise to `unknown` at once. */
   async cancel({ attempt, to, awaited }: Effects['cancel']['params']): Promise<Effects['cancel']['reply']> {
     const reply = this._cancel(attempt, to);
     return awaited ? reply : { kind: 'unknown' };
@@ -123,8 +123,8 @@
   }
 
   /**
-   * Handles a non-idempotent offer whose connection closed without a response. If the daemon left as planned and its last record does not
-   * list the attempt, it never accepted the offer, so another target may run it. The proof does not count after the deadline.
+   * Handles a non-idempotent offer whose connection closed without a response. If the daemon shut down gracefully and its last record does
+   * not list the attempt, it never accepted the offer, so another target may run it. The proof does not count after the deadline.
    */
   private async _onOfferLost(
     attempt: string,
--- a/packages/daemon/src/app/configService.ts
+++ b/packages/daemon/src/app/configService.ts
@@ -27,7 +27,7 @@
 
 /** Number of daemons in each zone that follow the log. */
 const kReadersPerZone = 2;
-/** Wait of one read that follows the log, in milliseconds. */
+/** Long-poll wait of one read that follows the log, in milliseconds. */
 const kFollowWaitMs = 10_000;
 const kRetryMs = 500;
 /** Period with which a daemon polls the log, in milliseconds; longer in a large fleet, to stay within {@link kMaxPollsPerSecond}. */
@@ -109,7 +109,7 @@
     clearTimeout(this._pollTimer);
   }
 
-  /** Folds the log up to an offset, or to its current end. */
+  /** Applies the records of the log up to an offset, or up to its current end. */
   read(upTo?: number): Promise<ReadResult> {
     return this._tail.readUpTo(upTo);
   }
@@ -228,7 +228,7 @@
   }
 
   private _notifyVersion(): void {
-    this._logger.info('config', `Applied configuration version ${this.fold.version}.`, { version: this.fold.version });
+    this._logger.info('config', `Version ${this.fold.version} is in force.`, { version: this.fold.version });
     this._onVersion(this.fold.config);
   }
 
--- a/packages/daemon/src/app/daemon.ts
+++ b/packages/daemon/src/app/daemon.ts
@@ -43,7 +43,7 @@
 const kColdStartRounds = 3;
 const kQueriedPeers = 3;
 const kMemberRefreshPeriodMs = 600_000;
-/** Period with which a planned stop checks its conditions, in milliseconds. */
+/** Period with which a graceful shutdown checks its conditions, in milliseconds. */
 const kStopPollMs = 20;
 
 /** The daemon of one host. */
@@ -60,7 +60,7 @@
   readonly claims: ClaimService;
   readonly meter: ControlMeter;
   readonly suspects: SuspectService;
-  /** Offers of other daemons, by connection. */
+  /** Offers received from other daemons, by connection. */
   readonly acceptedOffers = new AcceptedOffers<Socket>();
   readonly incarnation: number;
   private readonly _pools = new Pools(kPeerConnections);
@@ -169,7 +169,7 @@
     };
   }
 
-  /** Whether a planned stop is in progress. */
+  /** Whether a graceful shutdown is in progress. */
   get stopping(): boolean {
     return this._stopping;
   }
@@ -205,7 +205,7 @@
     ];
   }
 
-  /** Stops as planned. Resolves when nothing is in flight, or after the time limit `stopMs`; `cut` calls were then still in flight. */
+  /** Shuts down gracefully. Resolves when nothing is in flight, or after the time limit `stopMs`; `cut` calls were then still in flight. */
   async stop(): Promise<{ cut: number }> {
     if (this._stopping) {
       return { cut: 0 };
--- a/packages/daemon/src/app/localTarget.ts
+++ b/packages/daemon/src/app/localTarget.ts
@@ -15,7 +15,7 @@
   accepting: boolean;
   /** Intake that the operator configured. */
   intake: TargetIntake;
-  /** Whether the daemon stops. */
+  /** Whether the daemon is stopping. */
   stopping: boolean;
 }
 
@@ -77,13 +77,13 @@
     this._updateState();
   }
 
-  /** Refuses new requests because the daemon stops. */
+  /** Refuses new requests because the daemon is stopping. */
   stop(): void {
     this._inputs.stopping = true;
     this._updateState();
   }
 
-  /** Checks whether announcements have timed out; called periodically. */
+  /** Marks the target as absent if its last announcement has timed out; called periodically. */
   tick(): void {
     this._updateState();
   }
--- a/packages/daemon/src/app/memberService.ts
+++ b/packages/daemon/src/app/memberService.ts
@@ -11,9 +11,9 @@
 import type { OpenOffers } from './openOffers.js';
 
 const kPingPeriodMs = 1_000;
-/** Duration of a period from which the process counts as paused, in milliseconds. */
+/** Time between two ticks from which the process counts as paused, in milliseconds. */
 const kPauseThresholdMs = 2_500;
-/** Number of daemons in the zone that an update is sent to; one more is drawn from all zones. */
+/** Number of daemons in the local zone that an update is sent to; one more is drawn from all zones. */
 const kUpdateFanout = 3;
 /** Number of periods between fetches of another daemon's whole view, which contains changes that pings have missed. */
 const kPeriodsPerFetch = 60;
@@ -95,7 +95,7 @@
     await this._pingAll([...this.view.sampleAlive(kUpdateFanout, this.view.self.zone), ...this.view.sampleAlive(1)]);
   }
 
-  /** Like {@link sendUpdate}, and sends the last record to its holders, repeatedly until nearly all have it. */
+  /** Sends an update, and sends the last record to its holders in up to {@link kMaxLeaveRounds} rounds until nearly all have it. */
   async sendLeave(): Promise<void> {
     const [, unnotifiedHolders] = await Promise.all([this.sendUpdate(), this._pingAll(this.view.recordHoldersOf(this.view.self.id))]);
     let unnotified = unnotifiedHolders;
@@ -121,7 +121,7 @@
     return (await this._ping(member)) !== undefined;
   }
 
-  /** Pings senders of offers with the local record; returns those that responded and have no open offers at this daemon. */
+  /** Pings senders of offers; returns those that responded and reported no open offers at this daemon. */
   async requestRelease(senders: readonly string[]): Promise<string[]> {
     const members = senders.flatMap((id) => this.view.get(id) ?? []);
     const pongs = await Promise.all(members.map((member) => this._ping(member)));
@@ -204,7 +204,11 @@
     for (const member of members) {
       const before = this.view.get(member.id);
       if (this.view.merge(member, now, retransmit) && before?.state !== member.state) {
-        this._logger.info('members', `${member.id} is ${member.state}`, { member: member.id, zone: member.zone, state: member.state });
+        this._logger.info('members', `Daemon ${member.id} is ${member.state}.`, {
+          member: member.id,
+          zone: member.zone,
+          state: member.state,
+        });
       }
     }
   }
--- a/packages/daemon/src/app/suspectOffers.ts
+++ b/packages/daemon/src/app/suspectOffers.ts
@@ -27,7 +27,7 @@
 const kWaitShare = 0.5;
 /** Period with which waiting suspects are checked for expiry, in milliseconds. */
 const kExpiryPeriodMs = 20;
-/** Time for responses in transit on other connections of a crashed target to arrive, in milliseconds. */
+/** Time to wait for responses in transit on other connections of a crashed target, in milliseconds. */
 const kDrainMs = 5;
 
 /** Parts of the daemon that {@link SuspectOffers} depends on. */
@@ -150,7 +150,7 @@
     }
     await new Promise((resolve) => setTimeout(resolve, kDrainMs));
     const at = wallMs();
-    this._deps.logger.warn('quarantine', 'The target crashed with calls in flight.', { target: name, running: running.length });
+    this._deps.logger.warn('quarantine', 'The target crashed with requests in flight.', { target: name, running: running.length });
     this._gate.crashed(
       { id: hashText(`${name} ${at}`), at },
       running.map((offer) => ({ identity: offer.identity(), route: offer.route, call: offer })),
--- a/packages/daemon/src/app/suspectService.ts
+++ b/packages/daemon/src/app/suspectService.ts
@@ -60,21 +60,25 @@
       case 'quarantined': {
         const { fingerprint, route } = event.suspicion;
         const crashCount = crashesOf(event.suspicion);
-        this._logger.warn('quarantine', `Quarantined a request fingerprint: ${crashCount} targets crashed with such a request in flight.`, {
-          kind: fingerprint,
-          cls: route,
-          ends: crashCount,
-        });
+        this._logger.warn(
+          'quarantine',
+          `Request fingerprint quarantined: ${crashCount} targets crashed while such requests were in flight.`,
+          {
+            kind: fingerprint,
+            cls: route,
+            ends: crashCount,
+          },
+        );
         return;
       }
       case 'cleared':
-        this._logger.info('quarantine', 'A request with a suspected fingerprint completed.', {
+        this._logger.info('quarantine', 'Request fingerprint cleared: a suspected request completed.', {
           kind: event.fingerprint,
           before: event.before,
         });
         return;
       case 'released':
-        this._logger.warn('quarantine', 'A request fingerprint was released.', { kind: event.fingerprint });
+        this._logger.warn('quarantine', 'Request fingerprint released.', { kind: event.fingerprint });
         return;
     }
   }
--- a/packages/daemon/src/client/connectionCheck.ts
+++ b/packages/daemon/src/client/connectionCheck.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Checks whether the local target accepts TCP connections. */
+/** Checks whether the local target accepts TCP connections, to detect that it has crashed. */
 
 import { connect } from 'node:net';
 
--- a/packages/daemon/src/client/logClient.ts
+++ b/packages/daemon/src/client/logClient.ts
@@ -43,7 +43,7 @@
     return { kind: notAppended ? 'refused' : 'lost' };
   }
 
-  /** Reads records from an offset on, waiting up to `waitMs` for the first one; undefined if there is no valid response. */
+  /** Reads records from an offset, waiting up to `waitMs` for the first one; undefined if there is no valid response. */
   async read(stream: string, from: number, waitMs = 0): Promise<ReadResponse | undefined> {
     const path = `/streams/${stream}/records?from=${from}&wait_ms=${waitMs}&limit=${kPageSize}`;
     const result = await this._send('GET', path, Buffer.alloc(0), kReadTimeoutMs + waitMs);
--- a/packages/daemon/src/client/peerClient.ts
+++ b/packages/daemon/src/client/peerClient.ts
@@ -36,7 +36,7 @@
   private readonly _agent = new Agent({ keepAlive: true, maxSockets: 4, maxFreeSockets: 1, timeout: 30_000 });
   private readonly _clients = new Map<string, Client<typeof PeerService>>();
 
-  /** Sends a heartbeat with membership changes. */
+  /** Sends a ping with membership changes. */
   async ping(address: string, msg: { from: string; to: string; configVersion: number; changes: Member[] }): Promise<Pong | undefined> {
     const req = { from: msg.from, to: msg.to, configVersion: BigInt(msg.configVersion), changes: msg.changes.map(encodeMember) };
     const res = await undefinedOnError(this._clientFor(address).ping(req, { timeoutMs: kRequestTimeoutMs }));
--- a/packages/daemon/src/server/main.ts
+++ b/packages/daemon/src/server/main.ts
@@ -49,7 +49,7 @@
 
 async function run(daemon: Daemon): Promise<void> {
   const server = await startServer(daemon).catch((err: unknown) => {
-    daemon.logger.error('start', `Could not listen on ${daemon.settings.listen}.`, { err: String(err) });
+    daemon.logger.error('start', `Failed to listen on ${daemon.settings.listen}.`, { err: String(err) });
     process.exit(kExit.failed);
   });
   let signals = 0;
@@ -70,7 +70,7 @@
 }
 
 async function stop(daemon: Daemon, server: Server): Promise<void> {
-  daemon.logger.info('stop', 'Planned stop started.', { inFlight: daemon.inFlight });
+  daemon.logger.info('stop', 'Graceful shutdown started.', { inFlight: daemon.inFlight });
   await daemon.stop();
   server.refuseConnections();
   await new Promise((resolve) => setTimeout(resolve, kConnectionDrainMs));
--- a/packages/daemon/src/server/startServer.ts
+++ b/packages/daemon/src/server/startServer.ts
@@ -75,7 +75,7 @@
   });
 }
 
-/** Adds `Connection: close` to every response during a planned stop, so that no connection is in use when the server closes. */
+/** Adds `Connection: close` to every response during a graceful shutdown, so that no connection is in use when the server closes. */
 function closeConnectionsWhileStopping(fastify: FastifyInstance, daemon: Daemon): void {
   fastify.addHook('onSend', (_req, reply, _payload, done) => {
     if (daemon.stopping) {
