--- a/packages/protocol/src/apiSchemas.ts
+++ b/packages/protocol/src/apiSchemas.ts
@@ -46,7 +46,7 @@
   patch: z.record(z.string(), z.unknown()),
 });
 
-/** Crash evidence against the requests with one fingerprint. */
+/** Evidence that requests with one fingerprint crash targets. */
 export const suspicionSchema = z.object({
   fingerprint: z.string().min(1),
   screen: z.number().min(0),
@@ -74,7 +74,7 @@
   rootDaemon: z.string(),
   rootAddress: z.string(),
   rootIncarnation: z.number(),
-  /** Crash evidence that the sender has against the request's fingerprint, if any. */
+  /** The sender's crash evidence for the request's fingerprint, if any. */
   suspicion: suspicionSchema.optional(),
 });
 
@@ -99,7 +99,7 @@
   level: z.object({ level: z.number().min(0), service: z.string() }),
   /** Whether a downstream daemon already retried the failed call. */
   retriedBelow: z.boolean(),
-  /** Crash evidence that the gate's daemon has against the request's fingerprint, if any. */
+  /** The receiving daemon's crash evidence for the request's fingerprint, if any. */
   suspicion: suspicionSchema.optional(),
   /** Calls in flight and queued at the gate. */
   load: z.number().min(0),
--- a/packages/protocol/src/meshSettingsSchema.ts
+++ b/packages/protocol/src/meshSettingsSchema.ts
@@ -61,7 +61,7 @@
       slack: z.number().min(0).default(10),
     })
     .prefault({}),
-  /** Time between the signal for a planned stop and the kill of the process, in seconds. */
+  /** Time between the signal for a graceful shutdown and the kill of the process, in seconds. */
   stopSeconds: z.number().positive().default(6),
   /** Memory limit of the process, in MiB. */
   memoryMb: z.number().positive().default(256),
--- a/packages/protocol/src/recordSchemas.ts
+++ b/packages/protocol/src/recordSchemas.ts
@@ -45,7 +45,7 @@
   address: z.string(),
   zone: z.string(),
   region: z.string(),
-  /** Set when the daemon deregisters on a planned stop. */
+  /** Set when the daemon deregisters in a graceful shutdown. */
   goodbye: z.boolean().optional(),
 });
 
--- a/packages/protocol/src/settingsSchema.ts
+++ b/packages/protocol/src/settingsSchema.ts
@@ -54,7 +54,7 @@
       claimShards: z.int().min(1).max(1024).default(16),
       /** Maximum number of claims kept in memory per shard. */
       claimsPerShard: z.int().min(100).max(10_000_000).default(20_000),
-      /** Time in milliseconds after which a planned stop aborts the calls in flight; 0 disables the limit. */
+      /** Time in milliseconds after which a graceful shutdown aborts the calls in flight; 0 disables the limit. */
       stopMs: z.int().min(0).max(3_600_000).default(0),
       /** Time in milliseconds without an announcement after which a target is considered gone. */
       announceTimeoutMs: z.int().min(500).max(60_000).default(5_000),
