--- a/tests/e2e/commandLine.spec.ts
+++ b/tests/e2e/commandLine.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The daemon and the command-line client from an operator's view: settings, commands, their errors, and limits from the settings. */
+/** Guards the operator interface of the daemon and the command-line client: settings, limits, commands, exit codes and errors. */
 
 import { spawn } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
@@ -153,7 +153,7 @@
     { title: 'a missing file', args: ['validate', '/nowhere.yaml'], code: 2, pattern: /expected a readable YAML file/ },
   ];
   for (const { title, args, input, code, pattern } of cases) {
-    itSerial(`should answer ${title} with exit code ${code} and no stack trace`, async (t) => {
+    itSerial(`should exit with code ${code} and without a stack trace on ${title}`, async (t) => {
       const run = await fleet.runCli(args, input);
       t.is(run.code, code, run.err);
       t.regex(run.err, pattern);
--- a/tests/e2e/faults.spec.ts
+++ b/tests/e2e/faults.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Faults of hosts, targets and the log, over real processes. The checks depend on outcomes, not on elapsed time. */
+/** Guards against lost, repeated or wrongly reported calls when targets, daemons or the log fail, with real processes. */
 
 import test from 'ava';
 import { describe, itSerial } from '../support/describe.js';
@@ -66,7 +66,7 @@
 }
 
 describe('a target', () => {
-  itSerial('should be skipped when it sheds, and the caller receive not_run when all targets shed', async (t) => {
+  itSerial('should be skipped when it sheds, and requests should be refused as not_run when all targets shed', async (t) => {
     await fleet.setBehaviour('b1', { slots: 0 });
     t.is((await send('a1', '/beta/x', 'shed-one')).status, 200);
     await fleet.setBehaviour('b2', { slots: 0 });
@@ -195,7 +195,7 @@
     const { version } = await fleet.status('a1');
     await fleet.setLogFaults({ down: true });
     await fleet.startHost({ id: 'b2', zone: 'west', service: 'beta' }, {}, fleet.host('b2').address);
-    await until('b2 holds the version', async () => (await fleet.status('b2')).version === version);
+    await until('b2 has the version', async () => (await fleet.status('b2')).version === version);
     await fleet.untilTargets('beta', 2);
     t.is((await send('b2', '/alpha/x', 'cold')).status, 200);
   });
--- a/tests/e2e/leavingDaemon.spec.ts
+++ b/tests/e2e/leavingDaemon.spec.ts
@@ -4,7 +4,7 @@
  */
 
 /**
- * Planned stops of a daemon while other daemons keep connections to it. Guards against `attempt_lost` for an offer that a paused sender
+ * Graceful shutdown of a daemon to which other daemons keep connections. Guards against `attempt_lost` for an offer that a paused sender
  * writes to a connection that the stopped daemon has closed, and against a stop that waits for unused connections.
  */
 
@@ -61,7 +61,7 @@
   }
 }
 
-describe('a daemon that stops as planned', () => {
+describe('a daemon that shuts down gracefully', () => {
   itSerial('should lose no call of a sender that was paused during the stop', async (t) => {
     const fleet = await Fleet.start([
       { id: 'a1', zone: 'east', service: 'alpha' },
--- a/tests/e2e/lethalCalls.spec.ts
+++ b/tests/e2e/lethalCalls.spec.ts
@@ -3,10 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/**
- * Calls that crash their targets, with real processes. Guards against retries, and later requests with the same fingerprint, that crash one
- * target after another. `mesh/lethalRequests` covers the routing daemon.
- */
+/** Guards against retries and repeated requests that crash one target after another. */
 
 import test from 'ava';
 import { describe, itSerial } from '../support/describe.js';
--- a/tests/e2e/path.spec.ts
+++ b/tests/e2e/path.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Requests, rejections and keyed holds through a fleet of real processes. */
+/** Guards against incomplete responses, wrong rejections and repeated holds in a fleet of real processes. */
 
 import test from 'ava';
 import { describe, itSerial } from '../support/describe.js';
--- a/tests/e2e/stops.spec.ts
+++ b/tests/e2e/stops.spec.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Planned stops, rolling restarts and network partitions, with real processes. */
+/** Guards against calls lost in graceful shutdowns, rolling restarts and network partitions, with real processes. */
 
 import test from 'ava';
 import { LinkStandin } from '../standins/linkStandin.js';
@@ -100,7 +100,7 @@
       }
       await pause(kPauseMs);
     }
-    this.lost.push('gave up');
+    this.lost.push('all tries failed');
   }
 }
 
@@ -108,7 +108,7 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-describe('a planned stop', () => {
+describe('a graceful shutdown', () => {
   itSerial('should interrupt no call under load while the log is unavailable', async (t) => {
     await fleet.setLogFaults({ down: true });
     const callers = new Callers('/alpha/x', { method: 'PUT' }, ['b1', 'b2', 'a1']);
