--- a/packages/daemon/src/app/callSession.ts
+++ b/packages/daemon/src/app/callSession.ts
@@ -60,7 +60,7 @@
     return Promise.resolve(undefined);
   }
 
-  /** Waits for the next event until `until` on the monotonic clock. */
+  /** Waits for the next event; resolves to a `timeout` event at `until` on the monotonic clock. */
   awaitEvent(until: number): Promise<CallEvent> {
     const event = this._events.shift();
     if (event) {
@@ -82,7 +82,7 @@
     });
   }
 
-  /** Cancels an attempt. Replies whether it had started if `awaited`, else `unknown` at once. */
+  /** Cancels an attempt. Resolves to whether it had started if `awaited`, otherwise to `unknown` at once. */
   async cancel({ attempt, to, awaited }: Effects['cancel']['params']): Promise<Effects['cancel']['reply']> {
     const reply = this._cancel(attempt, to);
     return awaited ? reply : { kind: 'unknown' };
@@ -93,14 +93,14 @@
       return { kind: this._deps.offers.cancel(attempt) };
     }
     const req = { method: 'POST', path: `/-/cancel/${encodeURIComponent(attempt)}`, headers: {}, body: new Uint8Array() };
-    const end = await exchange(this._deps.pools.get(`http://${to.address}`), req, 1_024, kCancelTimeoutMs);
+    const result = await exchange(this._deps.pools.get(`http://${to.address}`), req, 1_024, kCancelTimeoutMs);
     const httpExchange = this._exchanges.get(attempt);
     this._exchanges.delete(attempt);
     httpExchange?.abort();
-    if (end.kind !== 'answered' || end.status !== 200) {
+    if (result.kind !== 'answered' || result.status !== 200) {
       return { kind: 'unknown' };
     }
-    return { kind: end.body.toString() === 'before_start' ? 'before_start' : 'started' };
+    return { kind: result.body.toString() === 'before_start' ? 'before_start' : 'started' };
   }
 
   private _send(attempt: string, to: Candidate, terms: OfferTerms, payload: Payload): void {
@@ -110,31 +110,31 @@
     const offer = JSON.stringify({ terms, method, path, headers, from: selfId });
     const req = { method: 'POST', path: '/-/offer', headers: { [kOfferHeader]: offer, 'content-type': 'application/octet-stream' }, body };
     openOffers.sent(to.daemon);
-    const httpExchange = new HttpExchange(this._deps.pools.get(`http://${to.address}`), req, kMaxResponseBytes, (end) => {
+    const httpExchange = new HttpExchange(this._deps.pools.get(`http://${to.address}`), req, kMaxResponseBytes, (result) => {
       const awaited = this._exchanges.delete(attempt);
       openOffers.ended(to.daemon);
-      if (end.kind === 'lost' && end.written && awaited && !terms.idempotent) {
-        void this._onOfferLost(attempt, to, end, deadline);
+      if (result.kind === 'lost' && result.written && awaited && !terms.idempotent) {
+        void this._onOfferLost(attempt, to, result, deadline);
       } else {
-        this._push({ kind: 'ended', attempt, result: offerResultOf(end) });
+        this._push({ kind: 'ended', attempt, result: offerResultOf(result) });
       }
     });
     this._exchanges.set(attempt, httpExchange);
   }
 
   /**
-   * Handles a non-idempotent offer whose connection closed without a response. If the daemon left as planned and its last record does not
-   * list the attempt, it never accepted the offer, so another target may run it. The proof does not count after the deadline.
+   * Handles a non-idempotent offer whose connection closed without a response. If the daemon shut down gracefully and its last record does
+   * not list the attempt, it never accepted the offer, so another target may run it. The proof does not count after the deadline.
    */
   private async _onOfferLost(
     attempt: string,
     to: Candidate,
-    end: Extract<ExchangeResult, { kind: 'lost' }>,
+    result: Extract<ExchangeResult, { kind: 'lost' }>,
     deadline: number,
   ): Promise<void> {
     const neverAccepted = await this._deps.neverAccepted(to, attempt);
     const written = !neverAccepted || monotonicMs() >= deadline;
-    this._push({ kind: 'ended', attempt, result: { ...end, written } });
+    this._push({ kind: 'ended', attempt, result: { ...result, written } });
   }
 
   private _push(event: CallEvent): void {
@@ -147,12 +147,12 @@
 }
 
 /** Decodes the gate's response. A response without a verdict counts as lost. */
-function offerResultOf(end: ExchangeResult): OfferResult {
-  if (end.kind === 'lost') {
-    return end;
+function offerResultOf(result: ExchangeResult): OfferResult {
+  if (result.kind === 'lost') {
+    return result;
   }
-  const header = end.kind === 'answered' && end.status === 200 ? end.headers[kVerdictHeader] : undefined;
-  if (end.kind !== 'answered' || typeof header !== 'string') {
+  const header = result.kind === 'answered' && result.status === 200 ? result.headers[kVerdictHeader] : undefined;
+  if (result.kind !== 'answered' || typeof header !== 'string') {
     return { kind: 'lost', written: true };
   }
   const { unspent, level, retriedBelow, load, limit, kind, reason, status, headers, suspicion } = offerVerdictSchema.parse(
@@ -162,7 +162,7 @@
   const errorKind = reason !== undefined && isErrorKind(reason) ? reason : 'target_failed';
   switch (kind) {
     case 'answered':
-      return { kind, answer: { status: status ?? 502, headers: headers ?? {}, body: end.body }, retriedBelow, ...common };
+      return { kind, answer: { status: status ?? 502, headers: headers ?? {}, body: result.body }, retriedBelow, ...common };
     case 'refused':
       return { kind, reason: errorKind, ...common, ...(suspicion ? { suspicion } : {}) };
     case 'failed':
--- a/packages/daemon/src/app/suspectOffers.ts
+++ b/packages/daemon/src/app/suspectOffers.ts
@@ -20,14 +20,14 @@
   wallMs,
 } from '@gentiandrum/core';
 import type { OfferTerms } from '@gentiandrum/protocol';
-import { probeTarget } from '../client/targetProbe.js';
+import { checkConnection } from '../client/connectionCheck.js';
 import type { Logger } from './logger.js';
 
 /** Share of an offer's remaining time for which it may wait for requests with the same fingerprint. */
 const kWaitShare = 0.5;
 /** Period with which waiting suspects are checked for expiry, in milliseconds. */
 const kExpiryPeriodMs = 20;
-/** Time for responses in transit on other connections of a crashed target to arrive, in milliseconds. */
+/** Time to wait for responses in transit on other connections of a crashed target, in milliseconds. */
 const kDrainMs = 5;
 
 /** Parts of the daemon that {@link SuspectOffers} depends on. */
@@ -145,12 +145,12 @@
 
   private async _checkForCrash(name: string, url: string): Promise<boolean> {
     const running = [...this._running];
-    if ((await probeTarget(url)) !== 'refused') {
+    if ((await checkConnection(url)) !== 'refused') {
       return false;
     }
     await new Promise((resolve) => setTimeout(resolve, kDrainMs));
     const at = wallMs();
-    this._deps.logger.warn('quarantine', 'The target crashed with calls in flight.', { target: name, running: running.length });
+    this._deps.logger.warn('quarantine', 'The target crashed with requests in flight.', { target: name, running: running.length });
     this._gate.crashed(
       { id: hashText(`${name} ${at}`), at },
       running.map((offer) => ({ identity: offer.identity(), route: offer.route, call: offer })),
