--- a/packages/mesh/src/app/calls/callExchange.ts
+++ b/packages/mesh/src/app/calls/callExchange.ts
@@ -57,7 +57,7 @@
   deadlines: Deadlines;
   /** Called before each offer; `first` for the first one of the request. */
   onOfferSent(target: TargetRecord, first: boolean): void;
-  onOfferResult(host: string, route: string, end: PlacedCallResult): void;
+  onOfferResult(host: string, route: string, result: PlacedCallResult): void;
   /** Called when a host's gate has no target to run the call; routing then prefers other hosts for a while. */
   deprioritize(host: string): void;
 }
@@ -108,12 +108,12 @@
   constructor(
     private readonly _req: RoutedRequest,
     private readonly _deps: ExchangeDeps,
-    private readonly _done: (end: ExchangeResult) => void,
+    private readonly _done: (result: ExchangeResult) => void,
   ) {
     this._procedure = routeRequest(_req.route, {
       choose: (excluded) => this._choose(excluded),
       verdict: () => this._verdict(),
-      mayProbe: () => this._mayTry(),
+      mayProbe: () => this._mayProbe(),
       remainingMs: () => this._remainingMs(),
       minUsefulMs: () => kMinRemainingMs,
     });
@@ -162,7 +162,7 @@
     return this._assessment?.verdict ?? 'clear';
   }
 
-  private _mayTry(): boolean {
+  private _mayProbe(): boolean {
     const { service } = this._req;
     const targets = { ready: this._deps.candidates(service).length, unreachable: this._deps.unreachable(service) };
     return mayProbe(targets, this._deps.suspects.msSinceUpdate(this._assessment?.suspicion.fingerprint ?? ''));
@@ -201,11 +201,11 @@
     this._target = target.host;
     this._deps.onOfferSent(target, this._offers === 1);
     const progress = { settled: false };
-    const handle = this._deps.offer(target, this._toPeerCall(offer), (end, report) => {
+    const handle = this._deps.offer(target, this._toPeerCall(offer), (result, report) => {
       progress.settled = true;
-      this._recordResult(target, end, report, monotonicMs() - sentAt);
+      this._recordResult(target, result, report, monotonicMs() - sentAt);
       if (!this._finished) {
-        this._advance(this._procedure.next(end));
+        this._advance(this._procedure.next(result));
       }
     });
     if (!progress.settled) {
@@ -213,13 +213,13 @@
     }
   }
 
-  private _recordResult(target: TargetRecord, end: CallResult, report: GateReport, tookMs: number): void {
-    const answered = end.kind === 'answered';
-    this._recordFailure(target, end, report, tookMs);
-    const failed = end.kind === 'lost' ? end.reason !== 'cancelled' : answered && end.answer.status >= 500;
+  private _recordResult(target: TargetRecord, result: CallResult, report: GateReport, tookMs: number): void {
+    const answered = result.kind === 'answered';
+    this._recordFailure(target, result, report, tookMs);
+    const failed = result.kind === 'lost' ? result.reason !== 'cancelled' : answered && result.answer.status >= 500;
     // A gate that refuses everything, or belongs to another host by now, reports no load of the intended target. Its report must not
     // make the target look idle.
-    const unsuccessful = foundNoTarget(end);
+    const unsuccessful = foundNoTarget(result);
     const load = report.limit > 0 && !unsuccessful ? report : undefined;
     if (unsuccessful) {
       this._deps.deprioritize(target.host);
@@ -230,16 +230,16 @@
     this._deps.onOfferResult(target.host, this._req.route.name, {
       load,
       tookMs: answered && !failed ? tookMs : undefined,
-      bytes: answered ? this._req.body.length + end.answer.body.length : undefined,
+      bytes: answered ? this._req.body.length + result.answer.body.length : undefined,
       failed,
     });
   }
 
-  private _recordFailure({ host }: TargetRecord, end: CallResult, { inFlight, queued, limit }: GateReport, tookMs: number): void {
-    if (end.kind === 'answered' && end.answer.status < 500) {
+  private _recordFailure({ host }: TargetRecord, result: CallResult, { inFlight, queued, limit }: GateReport, tookMs: number): void {
+    if (result.kind === 'answered' && result.answer.status < 500) {
       return;
     }
-    const text = end.kind === 'answered' ? `status ${end.answer.status}` : `${end.kind}: ${end.reason}`;
+    const text = result.kind === 'answered' ? `status ${result.answer.status}` : `${result.kind}: ${result.reason}`;
     this._failed ??= [];
     this._failed.push({ host, end: text, ms: Math.round(tookMs), inFlight, queued, limit });
   }
--- a/packages/mesh/src/app/calls/logSuspectEvent.ts
+++ b/packages/mesh/src/app/calls/logSuspectEvent.ts
@@ -23,7 +23,7 @@
     }
     case 'cleared': {
       const { fingerprint, before } = event;
-      events.notable('quarantine', 'Request fingerprint cleared: a suspected request completed.', { kind: fingerprint, before });
+      events.info('quarantine', 'Request fingerprint cleared: a suspected request completed.', { kind: fingerprint, before });
       return;
     }
     case 'released':
--- a/packages/mesh/src/app/calls/requestEntry.ts
+++ b/packages/mesh/src/app/calls/requestEntry.ts
@@ -52,22 +52,22 @@
   }
 
   /** Decides whether to admit a request. `done` may be called before this returns, and is not called after cancellation. */
-  enter(req: EntryRequest, done: (end: EntryResult) => void): PendingEntry {
+  enter(req: EntryRequest, done: (result: EntryResult) => void): PendingEntry {
     const procedure = admitRequest(req, this._environment);
     const progress = { cancelled: false };
     const advance = (step: IteratorResult<TokenRequest, EntryResult>): void => {
       if (step.done !== true) {
-        this._deps.quotas.request(step.value, (answer: TokenResponse) => {
-          advance(procedure.next(answer));
+        this._deps.quotas.request(step.value, (response: TokenResponse) => {
+          advance(procedure.next(response));
         });
         return;
       }
-      const end = step.value;
-      if (end.kind === 'shed' || (end.kind === 'admitted' && progress.cancelled)) {
-        this.returnToken(end.workspace);
+      const result = step.value;
+      if (result.kind === 'shed' || (result.kind === 'admitted' && progress.cancelled)) {
+        this.returnToken(result.workspace);
       }
       if (!progress.cancelled) {
-        done(end);
+        done(result);
       }
     };
     advance(procedure.next());
--- a/packages/mesh/src/app/calls/targetGate.ts
+++ b/packages/mesh/src/app/calls/targetGate.ts
@@ -47,7 +47,7 @@
 const kMaxLoggedRequests = 60;
 
 /** Called once, with the result of an offered call. */
-export type OfferDone = (end: CallResult, report: GateReport) => void;
+export type OfferDone = (result: CallResult, report: GateReport) => void;
 
 /** An offered call that has not completed. */
 export interface OfferHandle {
@@ -97,10 +97,10 @@
   private _lastCrashId: number | undefined;
   private readonly _running = new Map<PeerCall, OfferedCall>();
   private _client: TargetClient | undefined;
-  private readonly _life: TargetLifecycle;
-  private _reach = new TargetReachability();
+  private readonly _lifecycle: TargetLifecycle;
+  private _reachability = new TargetReachability();
   /** Current connection limit of the target. */
-  private readonly _connections = (): number => this._deps.maxConnections(this._life.known.service);
+  private readonly _connections = (): number => this._deps.maxConnections(this._lifecycle.known.service);
   /** Time at which the target is warm after its start, from its latest announcement, on the monotonic clock. */
   private _warmAt = 0;
   /** Whether the state of the target that other daemons know is still being fetched. */
@@ -112,7 +112,7 @@
   private _expiryTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly _deps: TargetGateDeps) {
-    this._life = new TargetLifecycle(_deps.address);
+    this._lifecycle = new TargetLifecycle(_deps.address);
     this._budget = new RepeatBudget(_deps.bound);
     this._suspects = new SuspectGate<OfferedCall>(_deps.suspects, {
       onPass: (offered) => {
@@ -121,7 +121,7 @@
       onRefuse: (offered, reason) => {
         this._refuse(offered, reason);
       },
-      isProbeTarget: (fingerprint) => _deps.isProbeTarget(fingerprint, this._life.known.service),
+      isProbeTarget: (fingerprint) => _deps.isProbeTarget(fingerprint, this._lifecycle.known.service),
     });
     this._gate = new SlotGate<OfferedCall>(
       {
@@ -139,11 +139,11 @@
 
   /** State of the target as published to other daemons. */
   get advertisedState(): Pick<TargetRecord, 'instance' | 'born' | 'service' | 'state' | 'slots'> {
-    const { instance, born, service, state, slots } = this._life.known;
+    const { instance, born, service, state, slots } = this._lifecycle.known;
     if (state !== 'ready') {
       return { instance, born, service, state, slots };
     }
-    const usable = this._reach.reachable ? 'ready' : 'unreachable';
+    const usable = this._reachability.reachable ? 'ready' : 'unreachable';
     return { instance, born, service, state: this._recovering || this._stopping ? 'unknown' : usable, slots };
   }
 
@@ -168,17 +168,17 @@
 
   /** Applies an announcement of the target; returns whether the advertised state changed. */
   announce(announcement: Announcement): boolean {
-    const before = this._life.known;
-    const changed = this._life.announce(announcement);
-    const { instance, born, state, slots, address, coldMs } = this._life.known;
-    const updated = before !== this._life.known;
+    const before = this._lifecycle.known;
+    const changed = this._lifecycle.announce(announcement);
+    const { instance, born, state, slots, address, coldMs } = this._lifecycle.known;
+    const updated = before !== this._lifecycle.known;
     if (!isSameIncarnation(before, { instance, born }) || address !== before.address) {
       this._client?.close();
       this._client = undefined;
-      this._reach = new TargetReachability();
+      this._reachability = new TargetReachability();
     }
     if (announcement.instance === instance && announcement.state === 'ready') {
-      this._reach.record('heartbeat', monotonicMs());
+      this._reachability.record('heartbeat', monotonicMs());
     }
     if (updated) {
       // Applies to announcements without a state change too: one of them may be the first to report the warm-up time.
@@ -186,7 +186,7 @@
       this._updateGate();
     }
     if (changed) {
-      this._deps.events.notable('target', `The target is ${state}.`, { instance, born, state, slots });
+      this._deps.events.info('target', `The target is ${state}.`, { instance, born, state, slots });
       this._deps.onChange();
     }
     return changed;
@@ -194,9 +194,9 @@
 
   /** Applies the state of the target that other daemons or the platform's log know. */
   restore(record: TargetRecord): void {
-    if (this._life.applyRecord(record)) {
-      const { instance, state } = this._life.known;
-      this._deps.events.notable('target', `Restored the last known state of the target: ${state}.`, { instance });
+    if (this._lifecycle.applyRecord(record)) {
+      const { instance, state } = this._lifecycle.known;
+      this._deps.events.info('target', `Restored the last known state of the target: ${state}.`, { instance });
       this._applyState();
     }
   }
@@ -221,7 +221,7 @@
     this._level.step((queued * meanMs) / limit, elapsedMs);
     this._deps.chains.step();
     this._client?.check();
-    if (this._reach.takeProbe(monotonicMs())) {
+    if (this._reachability.takeProbe(monotonicMs())) {
       this._client?.tryConnect();
     }
   }
@@ -332,7 +332,7 @@
   }
 
   private _immediateRefusal(call: PeerCall): GateRefusal | undefined {
-    const { service, instance } = this._life.known;
+    const { service, instance } = this._lifecycle.known;
     if (call.service !== service || call.instance !== instance) {
       return 'not_accepting';
     }
@@ -356,21 +356,21 @@
   }
 
   private _updateGate(): void {
-    const { state, instance, address, slots } = this._life.known;
+    const { state, instance, address, slots } = this._lifecycle.known;
     if (state !== 'ready' || this._recovering || this._stopping) {
       this._closeGate();
       return;
     }
-    const reach = this._reach;
+    const reachability = this._reachability;
     this._client ??= new TargetClient(address, instance, this._connections, this._deps.names, {
       onReachability: (evidence) => {
-        this._handleReach(reach, evidence);
+        this._handleReachability(reachability, evidence);
       },
       onCrash: (calls) => {
         this._handleCrash(calls);
       },
     });
-    if (this._reach.reachable) {
+    if (this._reachability.reachable) {
       this._gate.open(slots, this._warmAt);
     } else {
       this._closeGate('unreachable');
@@ -378,13 +378,13 @@
   }
 
   /** Publishes when the target becomes unreachable or reachable again; ignores late reports about an earlier target. */
-  private _handleReach(reach: TargetReachability, evidence: ReachabilityEvidence): void {
-    if (reach !== this._reach || !reach.record(evidence, monotonicMs())) {
+  private _handleReachability(reachability: TargetReachability, evidence: ReachabilityEvidence): void {
+    if (reachability !== this._reachability || !reachability.record(evidence, monotonicMs())) {
       return;
     }
-    const { reachable } = reach;
-    this._deps.events.notable('target', reachable ? 'The target accepts connections again.' : 'The target accepts no connections.', {
-      instance: this._life.known.instance,
+    const { reachable } = reachability;
+    this._deps.events.info('target', reachable ? 'The target accepts connections again.' : 'The target accepts no connections.', {
+      instance: this._lifecycle.known.instance,
       evidence,
     });
     this._applyState();
@@ -392,7 +392,7 @@
 
   /** Handles the end of the target process, which is a crash only if the target was ready. */
   private _handleCrash(calls: readonly PeerCall[]): void {
-    const { address, instance, born, state } = this._life.known;
+    const { address, instance, born, state } = this._lifecycle.known;
     if (state !== 'ready') {
       return;
     }
@@ -434,26 +434,26 @@
     }
     this._deps.chains.recordRun(offered.call.route);
     this._running.set(offered.call, offered);
-    offered.run = client.run(offered.call, remaining, (end) => {
-      this._handleResult(offered, end);
+    offered.run = client.run(offered.call, remaining, (result) => {
+      this._handleResult(offered, result);
     });
   }
 
-  private _handleResult(offered: OfferedCall, { result: end, responded: answered }: RunResult): void {
+  private _handleResult(offered: OfferedCall, { result, responded }: RunResult): void {
     this._running.delete(offered.call);
     // A failed call may not have reached the work that crashes the target, so it does not clear the suspicion.
-    if (answered && end.kind === 'answered' && end.answer.status < 500) {
+    if (responded && result.kind === 'answered' && result.answer.status < 500) {
       this._suspects.completed(offered);
     }
-    const ran = answered && end.kind === 'answered' && end.answer.status < 400;
+    const ran = responded && result.kind === 'answered' && result.answer.status < 400;
     const tookMs = monotonicMs() - offered.startedAt;
-    if (end.kind === 'not_run' && isCapacityRefusal(end.reason)) {
-      this._recordRefusal(end.reason);
+    if (result.kind === 'not_run' && isCapacityRefusal(result.reason)) {
+      this._recordRefusal(result.reason);
     } else {
       this._level.recordWork(tookMs / this._gate.limit);
     }
     this._gate.callEnded(offered.id, ran ? tookMs : undefined);
-    offered.done(end, this.report(offered.call.route));
+    offered.done(result, this.report(offered.call.route));
     this._suspects.leave(offered);
   }
 
--- a/packages/mesh/src/app/eventLog.ts
+++ b/packages/mesh/src/app/eventLog.ts
@@ -17,7 +17,7 @@
 export type EventFields = Record<string, unknown>;
 
 /** Maximum number of lines about failures and state changes per second. */
-const kNotableLinesPerSecond = 30;
+const kLinesPerSecond = 30;
 /** Maximum number of bytes buffered for a slow reader of standard output; lines beyond it are omitted. */
 const kMaxPendingBytes = 256 * 1024;
 
@@ -30,18 +30,18 @@
 /** Logger of one daemon. */
 export class EventLog {
   private readonly _winston: WinstonLogger;
-  private readonly _ordinary: Budget;
-  private readonly _notable: Budget;
+  private readonly _lowPriority: Budget;
+  private readonly _normal: Budget;
   private _second = 0;
   private _omitted = 0;
 
   constructor(
     private readonly _host: string,
-    ordinaryLinesPerSecond: number,
-    notableLinesPerSecond = kNotableLinesPerSecond,
+    lowPriorityLinesPerSecond: number,
+    linesPerSecond = kLinesPerSecond,
   ) {
-    this._ordinary = { perSecond: ordinaryLinesPerSecond, remaining: ordinaryLinesPerSecond, omitted: 0 };
-    this._notable = { perSecond: notableLinesPerSecond, remaining: notableLinesPerSecond, omitted: 0 };
+    this._lowPriority = { perSecond: lowPriorityLinesPerSecond, remaining: lowPriorityLinesPerSecond, omitted: 0 };
+    this._normal = { perSecond: linesPerSecond, remaining: linesPerSecond, omitted: 0 };
     this._winston = createLogger({
       format: format.combine(format.timestamp(), format.json()),
       // The lint rule does not recognize winston's own subclass, because its types come from two copies of one declaration.
@@ -56,23 +56,23 @@
   }
 
   /** Logs a frequent event, such as a successful request; `fields` is called only if the line is written. */
-  ordinary(part: EventPart, text: string, fields: () => EventFields): void {
-    if (this._consume(this._ordinary)) {
-      this._write(this._ordinary, 'info', part, text, fields());
+  infoLowPriority(part: EventPart, text: string, fields: () => EventFields): void {
+    if (this._consume(this._lowPriority)) {
+      this._write(this._lowPriority, 'info', part, text, fields());
     }
   }
 
   /** Logs a state change or a failed request. */
-  notable(part: EventPart, text: string, fields: EventFields = {}): void {
-    if (this._consume(this._notable)) {
-      this._write(this._notable, 'info', part, text, fields);
+  info(part: EventPart, text: string, fields: EventFields = {}): void {
+    if (this._consume(this._normal)) {
+      this._write(this._normal, 'info', part, text, fields);
     }
   }
 
   /** Logs a problem that may need the attention of an operator. */
   warn(part: EventPart, text: string, fields: EventFields = {}): void {
-    if (this._consume(this._notable)) {
-      this._write(this._notable, 'warn', part, text, fields);
+    if (this._consume(this._normal)) {
+      this._write(this._normal, 'warn', part, text, fields);
     }
   }
 
@@ -80,8 +80,8 @@
     const second = Math.floor(performance.now() / 1_000);
     if (second !== this._second) {
       this._second = second;
-      this._ordinary.remaining = this._ordinary.perSecond;
-      this._notable.remaining = this._notable.perSecond;
+      this._lowPriority.remaining = this._lowPriority.perSecond;
+      this._normal.remaining = this._normal.perSecond;
     }
     if (budget.remaining <= 0 || process.stdout.writableLength > kMaxPendingBytes) {
       budget.omitted++;
--- a/packages/mesh/src/app/log/configHolder.ts
+++ b/packages/mesh/src/app/log/configHolder.ts
@@ -76,7 +76,7 @@
       this._events.warn('config', `Version ${cfg.version} has faults in its workspaces and was applied nevertheless.`, { faults });
     }
     this._appliedAt = monotonicMs();
-    this._events.notable('config', `Version ${cfg.version} is in force.`, { version: cfg.version, from, routes: cfg.routes.length });
+    this._events.info('config', `Version ${cfg.version} is in force.`, { version: cfg.version, from, routes: cfg.routes.length });
     this._onApplied(checked.data);
   }
 
--- a/packages/mesh/src/app/log/logFollower.ts
+++ b/packages/mesh/src/app/log/logFollower.ts
@@ -21,7 +21,7 @@
 /** Number of reports that a reader sends in that time. */
 const kReportsPerWindow = 2;
 /** Age of the latest response at which the log counts as unavailable, in milliseconds: the longest read plus its response time. */
-const kMaxAnswerAgeMs = 5_500;
+const kMaxResponseAgeMs = 5_500;
 /** Jitter of the polls while no reader is known, as a share of the poll interval; keeps daemons from polling at the same time. */
 const kPollJitter = 0.3;
 /** Maximum poll interval, in milliseconds; the interval starts at the window, and doubles while the log does not respond. */
@@ -56,7 +56,7 @@
   private readonly _writer: LogWriter;
   /** Hosts that this daemon cannot reach. */
   private readonly _unreachable = new Set<string>();
-  private _place: ReaderRole = { kind: 'member', readers: [], ahead: [] };
+  private _role: ReaderRole = { kind: 'member', readers: [], ahead: [] };
   private _hasRead = false;
   /** Time until which this daemon only publishes its own record, on the monotonic clock. */
   private _activeFrom = 0;
@@ -80,18 +80,18 @@
 
   /** Whether this daemon follows the log for its zone. */
   get readsLog(): boolean {
-    return this._place.kind === 'reader';
+    return this._role.kind === 'reader';
   }
 
   /** Other hosts known as readers of this zone; for a reader, those ranked before it. */
   get readers(): readonly string[] {
-    return this._place.kind === 'member' ? this._place.readers : this._place.ahead;
+    return this._role.kind === 'member' ? this._role.readers : this._role.ahead;
   }
 
   /** Whether the latest call of this daemon to the log has not failed, and the latest response is recent. */
   get logResponds(): boolean {
     const { configs } = this._deps;
-    return !configs.failing && monotonicMs() - configs.answeredAt < kMaxAnswerAgeMs;
+    return !configs.failing && monotonicMs() - configs.respondedAt < kMaxResponseAgeMs;
   }
 
   /** Reads the hosts' records once, delayed at the initial start of the deployment. */
@@ -112,11 +112,11 @@
     if (zone !== this._deps.settings.zone) {
       return false;
     }
-    return this._place.kind === 'reader' || this._place.ahead.includes(host);
+    return this._role.kind === 'reader' || this._role.ahead.includes(host);
   }
 
   /** Records whether the log responds to another daemon, as that daemon reports. */
-  reported(host: string, logResponds: boolean): void {
+  recordReport(host: string, logResponds: boolean): void {
     this._rank.recordReport(host, logResponds, monotonicMs());
   }
 
@@ -166,19 +166,19 @@
     }
     const now = monotonicMs();
     const members = this._members();
-    this._place = this._rank.determineRole(members, (host) => this._unreachable.has(host), now);
+    this._role = this._rank.determineRole(members, (host) => this._unreachable.has(host), now);
     if (now < this._activeFrom) {
       // The only known member of its zone writes its record, so that daemons that read the log later find it.
       this._writer.check(now, members.length === 1, members);
       return;
     }
     this._updateFollowing();
-    if (this._place.kind === 'reader') {
+    if (this._role.kind === 'reader') {
       this._report(now);
     } else {
       this._pollWithoutReader(now);
     }
-    const first = this._place.kind === 'reader' && this._place.first;
+    const first = this._role.kind === 'reader' && this._role.first;
     if (first) {
       this._relay();
     }
@@ -189,8 +189,8 @@
 
   private _scheduleInitialRead(delayMs: number, retryMs: number): void {
     this._initialReadTimer = setTimeout(() => {
-      void this._deps.records.readNewest().then((answered) => {
-        if (!answered && !this._hasRead) {
+      void this._deps.records.readNewest().then((responded) => {
+        if (!responded && !this._hasRead) {
           // Other daemons may have sent their records meanwhile; then this daemon continues without the log.
           this._hasRead = this._deps.directory.size > 1;
           this._scheduleInitialRead(retryMs, Math.min(kMaxReadRetryMs, retryMs * 2));
@@ -207,7 +207,7 @@
   private _updateFollowing(): void {
     if (this._following !== this.readsLog) {
       this._following = this.readsLog;
-      this._deps.events.notable(
+      this._deps.events.info(
         'log',
         this.readsLog
           ? 'Following the log as a reader of the zone.'
@@ -215,13 +215,13 @@
       );
     }
     this._deps.configs.follow(this.readsLog);
-    this._deps.records.follow(this._place.kind === 'reader' && this._place.first);
+    this._deps.records.follow(this._role.kind === 'reader' && this._role.first);
   }
 
   /** Reports to the zone. Other members stop polling on a report, so none is sent before the log has responded or failed. */
   private _report(now: number): void {
     const { configs, directory } = this._deps;
-    const known = configs.failing || configs.answeredAt > -Infinity;
+    const known = configs.failing || configs.respondedAt > -Infinity;
     if (known && now - this._reportedAt >= this._windowMs / kReportsPerWindow) {
       this._reportedAt = now;
       this._deps.sendZone({ type: 'reading', well: this.logResponds, version: this._deps.version(), digests: directory.digests });
@@ -253,10 +253,10 @@
 
   private async _pollOnce(): Promise<void> {
     const { configs, records } = this._deps;
-    const answered = await configs.readNewest();
-    if (answered && monotonicMs() - records.answeredAt > kMaxRecordsAgeMs) {
+    const responded = await configs.readNewest();
+    if (responded && monotonicMs() - records.respondedAt > kMaxRecordsAgeMs) {
       await records.readNewest();
     }
-    this._pollIntervalMs = answered ? this._windowMs : Math.min(kMaxPollIntervalMs, this._pollIntervalMs * 2);
+    this._pollIntervalMs = responded ? this._windowMs : Math.min(kMaxPollIntervalMs, this._pollIntervalMs * 2);
   }
 }
--- a/packages/mesh/src/app/log/logWriter.ts
+++ b/packages/mesh/src/app/log/logWriter.ts
@@ -113,7 +113,7 @@
       this._retryAt = now + kWriteRetryMs;
       return;
     }
-    events.notable('log', `Wrote ${pending.length} records of this zone.`, { hosts: pending.map(({ host }) => host) });
+    events.info('log', `Wrote ${pending.length} records of this zone.`, { hosts: pending.map(({ host }) => host) });
     for (const record of pending) {
       const { host, epoch, revision } = record;
       this.recordLogged(record);
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -188,7 +188,7 @@
     this._totalsTimer = setInterval(() => {
       void this._logTotals();
     }, kTotalsIntervalMs);
-    this._events.notable('start', 'Listening.', { ...listen, zone: this._settings.zone, service: this._settings.target.service });
+    this._events.info('start', 'Listening.', { ...listen, zone: this._settings.zone, service: this._settings.target.service });
   }
 
   private async _listen(): Promise<void> {
@@ -200,7 +200,7 @@
       this._announcements.listen(announcements),
       ...(metrics !== undefined ? [this._metricsServer.listen(metrics)] : []),
     ]);
-    const failed = started.find((end) => end.status === 'rejected');
+    const failed = started.find((result) => result.status === 'rejected');
     if (failed) {
       throw failed.reason;
     }
@@ -213,7 +213,7 @@
     }
     this._stopping = true;
     const startedAt = monotonicMs();
-    this._events.notable('stop', 'Graceful shutdown started.', { calls: this._calls.inFlight, atGate: this._gate.pending });
+    this._events.info('stop', 'Graceful shutdown started.', { calls: this._calls.inFlight, atGate: this._gate.pending });
     const latest = startedAt + this._settings.stopSeconds * 1_000 - kStopMarginMs;
     // The gate stays open meanwhile, because closing it at once would leave the target idle until callers switch to other daemons.
     await pause(kDrainNoticeMs);
@@ -225,7 +225,7 @@
     await waitUntil(monotonicMs() + kLingerMs, latest, () => this._calls.inFlight + this._gate.pending === 0);
     await Promise.race([erased, pause(kStopPollMs)]);
     await this._network.shutDown();
-    this._events.notable('stop', 'Stopped.', { calls: this._calls.inFlight, atGate: this._gate.pending });
+    this._events.info('stop', 'Stopped.', { calls: this._calls.inFlight, atGate: this._gate.pending });
   }
 
   /** Stops timers and closes connections. */
@@ -300,7 +300,7 @@
         this._sync.markComplete();
       },
       onRecovered: () => {
-        this._workspaces.quotas.notePredecessor(this._records.sincePredecessorMs);
+        this._workspaces.quotas.recordPredecessor(this._records.sincePredecessorMs);
       },
       broadcast: (record) => {
         this._network.broadcast({ type: 'records', records: [record] });
@@ -347,8 +347,8 @@
       onDigests: (digests, link) => {
         this._sync.compare(digests, link);
       },
-      onReading: (host, well) => {
-        this._follower.reported(host, well);
+      onReading: (host, logResponds) => {
+        this._follower.recordReport(host, logResponds);
       },
       onConfig: (cfg) => {
         this._configs.apply(cfg, 'peer');
@@ -404,8 +404,8 @@
         this._placement.recordSent(target.host);
         this._metrics.placed(target.service, this._localityOf(target), !first);
       },
-      onOfferResult: (host, route, end) => {
-        this._placement.recordResult(host, route, end);
+      onOfferResult: (host, route, result) => {
+        this._placement.recordResult(host, route, result);
       },
       deprioritize: (host) => {
         this._placement.markUnreachable(host);
@@ -468,7 +468,7 @@
 
   private async _logTotals(): Promise<void> {
     const totals = await this._metrics.totals();
-    this._events.notable('calls', 'Totals since the start.', {
+    this._events.info('calls', 'Totals since the start.', {
       ...totals,
       gate: this._gate.state,
       configVersion: this._configs.version,
@@ -483,7 +483,7 @@
     const ready = [...this._directory.values()].filter(({ state }) => state === 'ready');
     const targets = this._placement.unchosenTargets(ready);
     if (targets.length > 0) {
-      this._events.notable('calls', 'Ready targets receive no calls from this daemon.', {
+      this._events.info('calls', 'Ready targets receive no calls from this daemon.', {
         count: targets.length,
         targets: targets.slice(0, kMaxLoggedTargets),
       });
--- a/packages/mesh/src/app/records/hostRecords.ts
+++ b/packages/mesh/src/app/records/hostRecords.ts
@@ -139,10 +139,10 @@
 
   /** Publishes the quarantined request fingerprints that crashed this host's target if they differ from the record. */
   updateSuspects(): void {
-    const { persisted: lasting } = this._deps.suspects;
-    const same = lasting.length === this._suspects.length && lasting.every((suspicion, i) => suspicion === this._suspects[i]);
+    const { persisted } = this._deps.suspects;
+    const same = persisted.length === this._suspects.length && persisted.every((suspicion, i) => suspicion === this._suspects[i]);
     if (!same) {
-      this._suspects = lasting;
+      this._suspects = persisted;
       this.updateOwn();
     }
   }
@@ -219,7 +219,7 @@
     // The first record of a host is not a change, and is not logged.
     if (before && (replaced || before.state !== record.state)) {
       const { host, state, instance, service } = record;
-      events.notable('peers', `The target on ${host} is ${state}.`, { peer: host, state, instance, service });
+      events.info('peers', `The target on ${host} is ${state}.`, { peer: host, state, instance, service });
     }
   }
 
@@ -273,7 +273,7 @@
     if (!this._recovered) {
       this._recovered = true;
       clearTimeout(this._recoveryTimer);
-      this._deps.events.notable('start', `Finished the recovery of this host's state (source: ${from}).`, {
+      this._deps.events.info('start', `Finished the recovery of this host's state (source: ${from}).`, {
         hosts: this._deps.directory.all().length,
       });
       this._deps.gate().endRecovery();
--- a/packages/mesh/src/app/runMesh.ts
+++ b/packages/mesh/src/app/runMesh.ts
@@ -58,7 +58,7 @@
 function reload(file: string, settings: MeshSettings, events: EventLog): void {
   try {
     const changed = JSON.stringify(loadMeshSettings(file)) !== JSON.stringify(settings);
-    events.notable('start', changed ? 'The settings changed; they take effect at the next start.' : 'The settings have not changed.', {});
+    events.info('start', changed ? 'The settings changed; they take effect at the next start.' : 'The settings have not changed.', {});
   } catch (err) {
     events.warn('start', 'The changed settings are not valid.', { err: String(err) });
   }
--- a/packages/mesh/src/app/workspaces/proofTracker.ts
+++ b/packages/mesh/src/app/workspaces/proofTracker.ts
@@ -113,7 +113,7 @@
     if (count !== this._suspensions) {
       this._suspensions = count;
       this._freshness.suspended(monotonicMs());
-      events.notable('workspaces', 'The host was suspended: requests with keys need a new freshness proof.', {
+      events.info('workspaces', 'The host was suspended: requests with keys need a new freshness proof.', {
         ms: Math.round(suspensions.lastDurationMs),
       });
     }
@@ -133,7 +133,7 @@
       this._stale = stale;
       const ageMs = Math.round(this._freshness.ageMs(now));
       const text = stale ? 'The configuration may be outdated: refusing requests with keys.' : 'The configuration is proven fresh.';
-      this._deps.events.notable('workspaces', text, { ageMs, version: this._deps.version() });
+      this._deps.events.info('workspaces', text, { ageMs, version: this._deps.version() });
     }
   }
 }
--- a/packages/mesh/src/app/workspaces/quotaService.ts
+++ b/packages/mesh/src/app/workspaces/quotaService.ts
@@ -43,7 +43,7 @@
   host: string;
   workspace: string;
   expiresAt: number;
-  done: (answer: TokenResponse) => void;
+  done: (response: TokenResponse) => void;
 }
 
 /** Token counts since the start. */
@@ -84,15 +84,15 @@
   }
 
   /** Requests a token from the owner of a share. `done` may be called before this returns. */
-  request({ workspace, share: part }: TokenRequest, done: (answer: TokenResponse) => void): void {
-    if (part.host === this._deps.settings.id) {
+  request({ workspace, share }: TokenRequest, done: (response: TokenResponse) => void): void {
+    if (share.host === this._deps.settings.id) {
       done(this._grant(workspace));
       return;
     }
     const id = this._nextId++;
-    this._pending.set(id, { host: part.host, workspace, expiresAt: monotonicMs() + kOwnerTimeoutMs, done });
+    this._pending.set(id, { host: share.host, workspace, expiresAt: monotonicMs() + kOwnerTimeoutMs, done });
     this._scheduleExpiry();
-    this._deps.sendTo(part.host, { type: 'token_wanted', id, workspace });
+    this._deps.sendTo(share.host, { type: 'token_wanted', id, workspace });
   }
 
   /** Returns a token to its owner, because its request did not run. */
@@ -113,12 +113,12 @@
   }
 
   /** Handles the response of an owner; returns the token of a grant that arrives after the timeout. */
-  receiveGrant(host: string, workspace: string, id: number, end: GrantResult): void {
+  receiveGrant(host: string, workspace: string, id: number, result: GrantResult): void {
     const pending = this._pending.get(id);
     if (pending) {
       this._pending.delete(id);
-      pending.done(end);
-    } else if (end !== 'not_owner' && end.granted) {
+      pending.done(result);
+    } else if (result !== 'not_owner' && result.granted) {
       this.returnToken(workspace, host);
     }
   }
@@ -148,7 +148,7 @@
    *
    * @param elapsedMs time since the start of the previous daemon, in milliseconds; infinite without one
    */
-  notePredecessor(elapsedMs: number): void {
+  recordPredecessor(elapsedMs: number): void {
     const { quotas, log } = this._deps.settings;
     if (log.firstStart && elapsedMs === Infinity) {
       this._owner.startFull();
@@ -159,7 +159,7 @@
 
   /** Returns unused tokens; called several times per second. */
   check(): void {
-    this._noteMembers();
+    this._updateMembers();
     for (const [host, counts] of this._returned) {
       this._deps.sendTo(host, { type: 'tokens_back', tokens: Object.fromEntries(counts) });
     }
@@ -171,7 +171,7 @@
     clearTimeout(this._timer);
   }
 
-  private _noteMembers(): void {
+  private _updateMembers(): void {
     if (this._revision !== this._deps.members.revision) {
       this._revision = this._deps.members.revision;
       this._owner.membersChanged(monotonicMs());
@@ -188,14 +188,14 @@
     if (ratePerSecond === undefined) {
       return { granted: true };
     }
-    this._noteMembers();
+    this._updateMembers();
     const limits = { ratePerSecond, burst };
-    const part = this._requester.shareOf(workspace, limits, this._deps.settings.id);
-    const end = this._owner.take(workspace, part, limits, tables.version, monotonicMs());
-    if (end !== 'not_owner') {
-      this.counts[end.granted ? 'granted' : 'denied']++;
+    const share = this._requester.shareOf(workspace, limits, this._deps.settings.id);
+    const result = this._owner.take(workspace, share, limits, tables.version, monotonicMs());
+    if (result !== 'not_owner') {
+      this.counts[result.granted ? 'granted' : 'denied']++;
     }
-    return end;
+    return result;
   }
 
   private _scheduleExpiry(): void {
@@ -220,7 +220,7 @@
   private _failPending(id: number, { host, done }: PendingRequest): void {
     this._pending.delete(id);
     this.counts.unanswered++;
-    this._deps.events.ordinary('workspaces', 'No response from the owner of a quota.', () => ({ peer: host }));
+    this._deps.events.infoLowPriority('workspaces', 'No response from the owner of a quota.', () => ({ peer: host }));
     done('no_answer');
   }
 }
--- a/packages/mesh/src/client/peerDialer.ts
+++ b/packages/mesh/src/client/peerDialer.ts
@@ -48,12 +48,12 @@
 
   /** Starts to open a link unless an attempt is in progress or the retry delay has not elapsed. */
   dial(record: TargetRecord): void {
-    this._dialIfDue(record);
+    this._dialIfAllowed(record);
   }
 
   /** Like {@link dial}, and passes the link to `callback`; passes undefined at once during the retry delay. */
   requestLink(record: TargetRecord, callback: LinkCallback): void {
-    const dial = this._dialIfDue(record);
+    const dial = this._dialIfAllowed(record);
     if (dial.socket) {
       dial.callbacks.push(callback);
     } else {
@@ -68,7 +68,7 @@
     }
   }
 
-  private _dialIfDue(record: TargetRecord): Dial {
+  private _dialIfAllowed(record: TargetRecord): Dial {
     const dial = this._dialOf(record.host);
     if (!dial.socket && performance.now() >= dial.notBefore) {
       this._connect(record, dial);
--- a/packages/mesh/src/client/peerMessages.ts
+++ b/packages/mesh/src/client/peerMessages.ts
@@ -127,9 +127,9 @@
       if (this._bytes < kLengthBytes + length) {
         return messages;
       }
-      const whole = this._joinPending(kLengthBytes + length);
-      messages.push(parseFields(unpackr.unpack(whole.subarray(kLengthBytes, kLengthBytes + length)) as unknown[], this._names));
-      this._pending = [whole.subarray(kLengthBytes + length)];
+      const frame = this._joinPending(kLengthBytes + length);
+      messages.push(parseFields(unpackr.unpack(frame.subarray(kLengthBytes, kLengthBytes + length)) as unknown[], this._names));
+      this._pending = [frame.subarray(kLengthBytes + length)];
       this._bytes -= kLengthBytes + length;
     }
     return messages;
--- a/packages/mesh/src/client/peerNetwork.ts
+++ b/packages/mesh/src/client/peerNetwork.ts
@@ -39,7 +39,7 @@
   /** A peer sent its digests. */
   onDigests(digests: Digests, link: PeerLink): void;
   /** A reader reports whether the platform's log responds to it. */
-  onReading(host: string, well: boolean): void;
+  onReading(host: string, logResponds: boolean): void;
   /** A peer has this configuration version. */
   onVersion(version: number, link: PeerLink): void;
   onConfig(cfg: MeshConfig): void;
@@ -185,7 +185,7 @@
   }
 
   private _handleDialFailed(host: string, reason: string): PeerLink | undefined {
-    this._log.notable('peers', `Failed to connect to ${host}: ${reason}.`, { peer: host });
+    this._log.info('peers', `Failed to connect to ${host}: ${reason}.`, { peer: host });
     this._events.onReachabilityChange(host, false);
     return this._links.get(host);
   }
@@ -309,7 +309,7 @@
     if (this._links.get(expected) === link) {
       this._links.delete(expected);
     }
-    this._log.notable('peers', `Host ${host} responds at the address of ${expected}, which is treated as removed.`, {
+    this._log.info('peers', `Host ${host} responds at the address of ${expected}, which is treated as removed.`, {
       peer: host,
       gone: expected,
     });
@@ -327,7 +327,7 @@
     this._allLinks.delete(link);
     if (this._links.get(link.host) === link) {
       this._links.delete(link.host);
-      this._log.notable('peers', `Lost the link to ${link.host}: ${reason}.`, { peer: link.host, owed: link.pendingCalls });
+      this._log.info('peers', `Lost the link to ${link.host}: ${reason}.`, { peer: link.host, owed: link.pendingCalls });
       this._events.onReachabilityChange(link.host, false);
     }
     this._calls.linkLost(link, `link lost: ${reason}`);
--- a/packages/mesh/src/client/sharedNames.ts
+++ b/packages/mesh/src/client/sharedNames.ts
@@ -62,7 +62,7 @@
       return name;
     }
     if (Array.isArray(name) && typeof name[0] === 'string') {
-      return this._introduce(name[0]);
+      return this._define(name[0]);
     }
     const text = typeof name === 'number' ? this._texts[name] : undefined;
     if (text === undefined) {
@@ -71,7 +71,7 @@
     return text;
   }
 
-  private _introduce(text: string): string {
+  private _define(text: string): string {
     if (this._texts.length >= kMaxNames) {
       this._texts = [];
     }
--- a/packages/mesh/src/ports.ts
+++ b/packages/mesh/src/ports.ts
@@ -38,7 +38,7 @@
 /** Reader of one topic of the platform's log. Log calls are expensive, so only some daemons follow a topic. */
 export interface LogView {
   /** Time of the latest response of the log, on the monotonic clock; `-Infinity` before the first. */
-  readonly answeredAt: number;
+  readonly respondedAt: number;
   /** Whether the latest call failed. */
   readonly failing: boolean;
   /** Starts or stops following the topic, that is, receiving records as they are appended. */
--- a/packages/mesh/src/server/callServer.ts
+++ b/packages/mesh/src/server/callServer.ts
@@ -67,11 +67,11 @@
 
   /** Number of requests without a response, plus connections with unsent response data. */
   get inFlight(): number {
-    let unread = 0;
+    let unsent = 0;
     for (const connection of this._connections) {
-      unread += connection.writing ? 1 : 0;
+      unsent += connection.writing ? 1 : 0;
     }
-    return this._inFlight + unread;
+    return this._inFlight + unsent;
   }
 
   get limits(): CallerLimits {
@@ -145,17 +145,17 @@
   }
 
   private _refuseEntry(req: CallerRequest, result: RefusedEntry): void {
-    const { status, detail, outcome, retryAfterMs, headers, logText, ordinary } = refusalOf(result);
+    const { status, detail, outcome, retryAfterMs, headers, logText, lowPriority } = refusalOf(result);
     this._deps.metrics.requestEnded(refusedService(result), outcome, result.kind === 'shed' ? 'level' : 'none', 0);
     const workspace = refusedWorkspace(result);
     if (workspace !== undefined) {
       this._deps.metrics.workspaceEnded(workspace, outcome);
     }
     const fields = (): EventFields => ({ req: req.headers.requestId, ...refusalFields(result) });
-    if (logText !== undefined && ordinary === true) {
-      this._deps.events.ordinary('calls', logText, fields);
+    if (logText !== undefined && lowPriority === true) {
+      this._deps.events.infoLowPriority('calls', logText, fields);
     } else if (logText !== undefined) {
-      this._deps.events.notable('calls', logText, fields());
+      this._deps.events.info('calls', logText, fields());
     }
     this._refuse(req, status, detail, retryAfterMs, headers);
   }
@@ -242,12 +242,12 @@
     if (result.kind === 'answered') {
       const { status } = result.answer;
       if (status < 500) {
-        this._deps.events.ordinary('calls', 'Request completed.', () => ({ ...fields(), status }));
+        this._deps.events.infoLowPriority('calls', 'Request completed.', () => ({ ...fields(), status }));
       } else {
-        this._deps.events.notable('calls', 'Target responded with a server error.', { ...fields(), status });
+        this._deps.events.info('calls', 'Target responded with a server error.', { ...fields(), status });
       }
     } else {
-      this._deps.events.notable('calls', 'Request failed without a response from a target.', { ...fields(), ...result });
+      this._deps.events.info('calls', 'Request failed without a response from a target.', { ...fields(), ...result });
     }
   }
 
--- a/packages/mesh/src/server/entryRefusals.ts
+++ b/packages/mesh/src/server/entryRefusals.ts
@@ -23,7 +23,7 @@
   /** Text of the log line; undefined for frequent mistakes of callers, which are not logged. */
   logText?: string;
   /** Whether the line counts against the budget of ordinary lines, so that a single caller cannot displace failures. */
-  ordinary?: boolean;
+  lowPriority?: boolean;
 }
 
 /** Retry-After value when no better one is known, in milliseconds. */
@@ -48,7 +48,7 @@
         outcome: result.kind,
         headers: kBearerChallenge,
         logText: 'Request refused: unknown API key.',
-        ordinary: true,
+        lowPriority: true,
       };
     case 'stale_configuration':
       return {
@@ -65,7 +65,7 @@
         outcome: result.kind,
         retryAfterMs: result.retryAfterMs,
         logText: 'Request refused: the workspace is over its quota.',
-        ordinary: true,
+        lowPriority: true,
       };
     case 'quota_unknown':
       return {
--- a/tests/mesh/logFollower.spec.ts
+++ b/tests/mesh/logFollower.spec.ts
@@ -40,7 +40,7 @@
 
 /** Fake topic: each successful read takes `kReadDurationMs`, and delivers a new version at once. */
 class FakeView {
-  answeredAt = -Infinity;
+  respondedAt = -Infinity;
   failing = false;
   following = false;
   private _nextRead = 0;
@@ -77,7 +77,7 @@
     this._log.calls++;
     this.failing = this._log.refused.has(this._host);
     if (!this.failing) {
-      this.answeredAt = monotonicMs();
+      this.respondedAt = monotonicMs();
       this._onAnswer();
     }
     return !this.failing;
@@ -214,7 +214,7 @@
   private _take(daemon: FakeDaemon, from: FakeDaemon, message: PeerMessage): void {
     switch (message.type) {
       case 'reading':
-        daemon.follower.reported(from.host, message.well);
+        daemon.follower.recordReport(from.host, message.well);
         daemon.take(message.version, this);
         return;
       case 'logged':
--- a/tests/platform/topicReader.spec.ts
+++ b/tests/platform/topicReader.spec.ts
@@ -92,12 +92,12 @@
       store.mode = 'busy';
       t.false(await records.readNewest());
       t.true(records.failing);
-      t.is(records.answeredAt, -Infinity);
+      t.is(records.respondedAt, -Infinity);
       t.false(await records.append([recordOf('h1')]));
       store.mode = 'serving';
       t.true(await records.readNewest());
       t.false(records.failing);
-      t.true(records.answeredAt > 0);
+      t.true(records.respondedAt > 0);
     }),
   );
 });
