--- a/tests/mesh/answers.spec.ts
+++ b/tests/mesh/answers.spec.ts
@@ -30,11 +30,11 @@
         await fleet.untilServing('/once/warm');
         host.target.mode = mode;
         const before = host.target.seen.length;
-        const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
-        t.is(answer.status, status);
+        const response = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
+        t.is(response.status, status);
         t.is(host.target.seen.length, before + 1);
-        t.is('retry-after' in answer.headers, status === 503);
-        t.is('x-response-seal' in answer.headers, mode === 'failing');
+        t.is('retry-after' in response.headers, status === 503);
+        t.is('x-response-seal' in response.headers, mode === 'failing');
       }),
     );
   }
@@ -46,9 +46,9 @@
       await fleet.untilServing('/a/warm');
       host.target.mode = 'surplus';
       for (let i = 0; i < 10; i++) {
-        const answer = await fleet.call(host, '/a/x');
-        if (answer.status === 200) {
-          t.is(answer.body, `i-h1 did ${String(answer.headers['x-attempt-id'])}`);
+        const response = await fleet.call(host, '/a/x');
+        if (response.status === 200) {
+          t.is(response.body, `i-h1 did ${String(response.headers['x-attempt-id'])}`);
         }
       }
     }),
@@ -63,9 +63,9 @@
       // The retry budget grows with the number of first attempts.
       await Promise.all(Array.from({ length: 200 }, () => fleet.call(second, '/a/x')));
       first.target.mode = 'dropped';
-      const answer = await fleet.call(first, '/a/x');
-      t.is(answer.status, 200);
-      t.is(answer.body.split(' ')[0], 'i-h2');
+      const response = await fleet.call(first, '/a/x');
+      t.is(response.status, 200);
+      t.is(response.body.split(' ')[0], 'i-h2');
     }),
   );
 });
@@ -78,8 +78,8 @@
       const far = await fleet.add('h2', 'holds');
       await fleet.untilServing('/once/warm');
       const headers = { 'x-caller-service': 'forged', 'x-target-instance': 'forged', 'x-own': 'kept' };
-      const answer = await fleet.call(near, '/once/a%20b?c=d', { method: 'POST', body: 'the body', remainingMs: 900, headers });
-      t.is(answer.status, 200);
+      const response = await fleet.call(near, '/once/a%20b?c=d', { method: 'POST', body: 'the body', remainingMs: 900, headers });
+      t.is(response.status, 200);
       const seen = far.target.seen.at(-1);
       t.is(seen?.path, '/once/a%20b?c=d');
       t.is(seen?.body, 'the body');
--- a/tests/mesh/callExchange.spec.ts
+++ b/tests/mesh/callExchange.spec.ts
@@ -26,15 +26,15 @@
   return { host, zone: 'z1', peers: '', service: 'reads', instance: `i-${host}`, state: 'ready', slots: 16, epoch: 1, revision: 1 };
 }
 
-function run(ends: CallResult[]): { exchange: CallExchange; end: ExchangeResult | undefined } {
-  const targets = ends.map((_, i) => target(`h${i + 1}`));
+function run(results: CallResult[]): { exchange: CallExchange; end: ExchangeResult | undefined } {
+  const targets = results.map((_, i) => target(`h${i + 1}`));
   const result: { end: ExchangeResult | undefined } = { end: undefined };
   let next = 0;
   const deps: ExchangeDeps = {
     candidates: () => targets,
     choose: (candidates, excluded) => candidates.find(({ host }) => !excluded.has(host)),
     offer: (_target, _call, done) => {
-      done(ends[next++] ?? { kind: 'lost', reason: 'no more ends' }, kFull);
+      done(results[next++] ?? { kind: 'lost', reason: 'no more ends' }, kFull);
       return { cancel: () => undefined };
     },
     chains: new ChainModel(),
@@ -58,8 +58,8 @@
     workspace: undefined,
     deadline: performance.now() + 1_000,
   };
-  const exchange = new CallExchange(req, deps, (end) => {
-    result.end = end;
+  const exchange = new CallExchange(req, deps, (finalResult) => {
+    result.end = finalResult;
   });
   exchange.start();
   return { exchange, end: result.end };
--- a/tests/mesh/leaving.spec.ts
+++ b/tests/mesh/leaving.spec.ts
@@ -20,10 +20,10 @@
       await fleet.untilServing('/a/warm');
       t.is(await leaves.target.sendHeartbeat(leaves.control, 'draining'), 200);
       const before = leaves.target.seen.length;
-      const answers = await Promise.all(
+      const responses = await Promise.all(
         [...Array.from({ length: 10 }, () => [stays, leaves]).flat()].map((host) => fleet.call(host, '/a/x')),
       );
-      t.true(answers.every(({ status }) => status === 200));
+      t.true(responses.every(({ status }) => status === 200));
       t.is(leaves.target.seen.length, before);
     }),
   );
--- a/tests/mesh/links.spec.ts
+++ b/tests/mesh/links.spec.ts
@@ -82,9 +82,9 @@
         () => undefined,
         async (address) => {
           const host = await addHostWithKnownPeer(fleet, address);
-          const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold', remainingMs: 20_000 });
-          t.is(answer.status, 502);
-          t.regex(answer.body, /no response to a ping/);
+          const response = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold', remainingMs: 20_000 });
+          t.is(response.status, 502);
+          t.regex(response.body, /no response to a ping/);
         },
       ),
     ),
@@ -93,9 +93,9 @@
   itSerial('should respond 503 when it cannot be opened, because nothing ran', (t) =>
     withFleet(async (fleet) => {
       const host = await addHostWithKnownPeer(fleet, '127.0.0.1:9');
-      const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
-      t.is(answer.status, 503);
-      t.truthy(answer.headers['retry-after']);
+      const response = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
+      t.is(response.status, 503);
+      t.truthy(response.headers['retry-after']);
     }),
   );
 
@@ -140,9 +140,9 @@
           sendGoodbye((id) => id - 1),
           async (address) => {
             const host = await addHostWithKnownPeer(fleet, address);
-            const answer = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
-            t.is(answer.status, 503);
-            t.truthy(answer.headers['retry-after']);
+            const response = await fleet.call(host, '/once/x', { method: 'POST', body: 'hold' });
+            t.is(response.status, 503);
+            t.truthy(response.headers['retry-after']);
           },
         ),
       ),
@@ -197,7 +197,7 @@
         use(link);
       },
       kCall,
-      (end) => results.push(end),
+      (result) => results.push(result),
     );
     socket.emit('close');
     t.deepEqual(results, [{ kind: 'not_run', reason: 'unreachable', retryAfterMs: 0 }]);
--- a/tests/mesh/meshFleet.ts
+++ b/tests/mesh/meshFleet.ts
@@ -184,9 +184,9 @@
 
   /** Waits until a condition holds; throws after a timeout. */
   async until(what: string, holds: () => boolean | Promise<boolean>): Promise<void> {
-    const end = performance.now() + kTimeoutMs;
+    const deadline = performance.now() + kTimeoutMs;
     while (!(await holds())) {
-      if (performance.now() > end) {
+      if (performance.now() > deadline) {
         throw new Error(`expected ${what}`);
       }
       await new Promise((resolve) => setTimeout(resolve, kPollMs));
--- a/tests/mesh/peerLink.spec.ts
+++ b/tests/mesh/peerLink.spec.ts
@@ -95,20 +95,20 @@
 
   itSerial('should be pinged less often while it responds', (t) => {
     withLink((link, socket, checkUntil) => {
-      let probes = 0;
+      let pings = 0;
       link.send = () => {
-        probes++;
+        pings++;
       };
       link.pendingCalls = 1;
       for (let now = kCheckMs; now <= 6_000; now += kCheckMs) {
-        const before = probes;
+        const before = pings;
         checkUntil(now);
-        if (probes > before) {
+        if (pings > before) {
           socket.emit('data', new MessageWriter().encode({ type: 'pong' }));
         }
       }
       // 30 without backoff.
-      t.true(probes >= 7 && probes <= 12, String(probes));
+      t.true(pings >= 7 && pings <= 12, String(pings));
     });
   });
 
--- a/tests/mesh/rawCaller.ts
+++ b/tests/mesh/rawCaller.ts
@@ -64,8 +64,8 @@
 
   /** Waits until the received text matches a pattern, the connection is closed, or the wait times out. */
   async until(pattern: RegExp): Promise<string> {
-    const end = performance.now() + kTimeoutMs;
-    while (!pattern.test(this._text) && !this._closed && performance.now() < end) {
+    const deadline = performance.now() + kTimeoutMs;
+    while (!pattern.test(this._text) && !this._closed && performance.now() < deadline) {
       await new Promise((resolve) => setTimeout(resolve, kPollMs));
     }
     return this._text;
--- a/tests/mesh/workspaces.spec.ts
+++ b/tests/mesh/workspaces.spec.ts
@@ -185,20 +185,20 @@
       const hosts = [h1, h2, h3];
       await fleet.until('all to be linked', () => hosts.every(({ daemon }) => daemon.reachable === 2));
       await fleet.until('all to serve', async () => {
-        const answers = await Promise.all(hosts.map((host) => fleet.call(host, '/a/x', { headers: bearer('key-of-crew') })));
-        return answers.every(({ status }) => status === 200);
+        const responses = await Promise.all(hosts.map((host) => fleet.call(host, '/a/x', { headers: bearer('key-of-crew') })));
+        return responses.every(({ status }) => status === 200);
       });
       const startedAt = performance.now();
-      const answers: CallerResponse[] = [];
+      const responses: CallerResponse[] = [];
       while (performance.now() - startedAt < 1_000) {
-        answers.push(...(await Promise.all(hosts.map((host) => fleet.call(host, '/a/b', { headers: bearer('key-of-bulk') })))));
+        responses.push(...(await Promise.all(hosts.map((host) => fleet.call(host, '/a/b', { headers: bearer('key-of-bulk') })))));
       }
       const elapsed = Math.max(2, (performance.now() - startedAt) / 1_000);
       const ran = hosts.flatMap(({ target }) => target.seen).filter(({ workspace }) => workspace === 'bulk').length;
       t.true(ran <= (5 * elapsed + 5) * 1.1 + 4, `${ran} ran in ${elapsed} s`);
       t.true(ran >= 3, `${ran} ran`);
-      const over = answers.filter(({ status }) => status === 429);
-      t.is(ran, answers.filter(({ status }) => status === 200).length);
+      const over = responses.filter(({ status }) => status === 429);
+      t.is(ran, responses.filter(({ status }) => status === 200).length);
       t.true(over.length > 0);
       t.true(over.every(({ headers }) => Number(headers['retry-after']) > 0));
       t.is((await fleet.call(h2, '/a/x', { headers: bearer('key-of-crew') })).status, 200);
