--- a/packages/mesh/src/server/bodyMemory.ts
+++ b/packages/mesh/src/server/bodyMemory.ts
@@ -9,7 +9,7 @@
 
   constructor(private readonly _maxBytes: number) {}
 
-  /** Reserves memory; returns false, and reserves nothing, once more than the limit is reserved. */
+  /** Reserves memory; returns false, and reserves nothing, if the reserved memory already exceeds the limit. */
   reserve(bytes: number): boolean {
     if (this._reservedBytes > this._maxBytes) {
       return false;
--- a/packages/mesh/src/server/entryRefusals.ts
+++ b/packages/mesh/src/server/entryRefusals.ts
@@ -22,7 +22,7 @@
   headers?: string[];
   /** Text of the log line; undefined for frequent mistakes of callers, which are not logged. */
   logText?: string;
-  /** Whether the line counts against the budget of ordinary lines, so that a single caller cannot displace failures. */
+  /** Whether the line counts against the budget of low-priority lines, so that a single caller cannot displace lines about failures. */
   lowPriority?: boolean;
 }
 
--- a/packages/mesh/src/server/suspectControl.ts
+++ b/packages/mesh/src/server/suspectControl.ts
@@ -21,7 +21,7 @@
     return undefined;
   }
   if (!suspects.release(fingerprint)) {
-    const detail = `Expected the fingerprint of a suspected request, got "${fingerprint}".`;
+    const detail = `Expected the fingerprint of a suspect that is not released, got "${fingerprint}".`;
     return { status: 404, body: JSON.stringify({ kind: 'unknown_suspect', detail }) };
   }
   return { status: 200, body: JSON.stringify({ released: fingerprint }) };
