--- a/packages/mesh/src/app/calls/callExchange.ts
+++ b/packages/mesh/src/app/calls/callExchange.ts
@@ -33,11 +33,11 @@
 import { identityOf } from './requestIdentity.js';
 import type { OfferDone, OfferHandle } from './targetGate.js';
 
-/** Minimum time left before the deadline to make an offer, in milliseconds; covers the way back of the response. */
+/** Minimum time left before the deadline to make an offer, in milliseconds; covers the transfer of the response. */
 const kMinRemainingMs = 5;
 /** Share of the latency target that an external request may spend in a gate's queue before the gate refuses it. */
 const kExternalWaitShare = 0.2;
-/** The same share for an internal call; higher, because a refusal discards the work of all its callers. */
+/** Share of the latency target that an internal call may spend in a gate's queue; higher than the external one, because a refusal discards the work of all its callers. */
 const kInternalWaitShare = 0.5;
 
 /** Share of the remaining time that a suspect may wait at a gate. */
--- a/packages/mesh/src/app/calls/targetGate.ts
+++ b/packages/mesh/src/app/calls/targetGate.ts
@@ -262,7 +262,7 @@
     };
   }
 
-  /** Passes a call on unless it has to wait for other suspects; returns the reason if it is refused. */
+  /** Passes a call to the slot gate unless it has to wait for other suspects; returns the reason if it is refused. */
   private _offerToSuspectGate(offered: OfferedCall): GateRefusal | undefined {
     const decision = this._suspects.offer(offered);
     switch (decision.kind) {
@@ -390,7 +390,7 @@
     this._applyState();
   }
 
-  /** Handles the end of the target process, which is a crash only if the target was ready. */
+  /** Handles a report that the target process has ended, which counts as a crash only if the target was ready. */
   private _handleCrash(calls: readonly PeerCall[]): void {
     const { address, instance, born, state } = this._lifecycle.known;
     if (state !== 'ready') {
--- a/packages/mesh/src/app/eventLog.ts
+++ b/packages/mesh/src/app/eventLog.ts
@@ -4,13 +4,13 @@
  */
 
 /**
- * Writes structured, rate-limited log lines to standard output. Ordinary lines have a separate budget from state changes and failures,
- * so they cannot displace them. The next line written reports the number of omitted lines.
+ * Writes structured, rate-limited log lines to standard output. Lines of low priority have a separate budget, so they cannot displace
+ * lines about state changes and failures. The next line written reports the number of omitted lines.
  */
 
 import { createLogger, format, type Logger as WinstonLogger, transports } from 'winston';
 
-/** Parts of the daemon, used as prefixes of log lines. */
+/** Components of the daemon, used as prefixes of log lines. */
 export type EventPart = 'calls' | 'config' | 'gate' | 'log' | 'peers' | 'quarantine' | 'start' | 'stop' | 'target' | 'workspaces';
 
 /** Structured fields of a log line. */
--- a/packages/mesh/src/app/latencyMetric.ts
+++ b/packages/mesh/src/app/latencyMetric.ts
@@ -19,7 +19,7 @@
   outcome: RequestOutcome;
   reason: string;
   count: number;
-  /** Sum of the request times. */
+  /** Sum of the request durations, in seconds. */
   seconds: number;
   /** Number of requests per bucket, not cumulative; longer ones are only in `count`. */
   buckets: number[];
@@ -52,7 +52,7 @@
     });
   }
 
-  /** Does nothing: totals are kept for the life of the process. */
+  /** Does nothing: totals are kept until the process ends. */
   reset(): void {
     return undefined;
   }
--- a/packages/mesh/src/app/log/logFollower.ts
+++ b/packages/mesh/src/app/log/logFollower.ts
@@ -5,7 +5,7 @@
 
 /**
  * Decides what this daemon reads from and writes to the platform's log. The readers of a zone follow the log for all its daemons; other
- * daemons poll the log only while they know of no reader. So the number of log calls does not grow with the number of hosts.
+ * daemons poll the log only while they know of no reader. This keeps the number of log calls independent of the number of hosts.
  */
 
 import { monotonicMs, ReaderRank, type ReaderRole, type TargetDirectory, type TargetRecord } from '@gentiandrum/core';
@@ -18,7 +18,7 @@
  * responses of the log and the propagation to other daemons.
  */
 const kWindowShare = 0.5;
-/** Number of reports that a reader sends in that time. */
+/** Number of reports that a reader sends per window, the time that {@link kWindowShare} defines. */
 const kReportsPerWindow = 2;
 /** Age of the latest response at which the log counts as unavailable, in milliseconds: the longest read plus its response time. */
 const kMaxResponseAgeMs = 5_500;
@@ -107,7 +107,7 @@
     this._hasRead = false;
   }
 
-  /** Whether this daemon needs a link to a host to relay or to receive what the log says. */
+  /** Whether this daemon needs a link to a host to relay or to receive changes read from the log. */
   wantsLink({ host, zone }: TargetRecord): boolean {
     if (zone !== this._deps.settings.zone) {
       return false;
--- a/packages/mesh/src/app/log/logWriter.ts
+++ b/packages/mesh/src/app/log/logWriter.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Writes the records of a zone's hosts to the log. The first reader writes the records of the whole zone in batches; a host whose record
- * is not written in time writes it itself.
+ * Writes the records of a zone's hosts to the log. The first reader writes the records of the whole zone in batches; a host writes its
+ * own record if no reader has written it in time.
  */
 
 import { isNewerRecord, isSameIncarnation, type TargetRecord } from '@gentiandrum/core';
@@ -16,7 +16,7 @@
 
 /** Time over which changed records are collected into one call, in milliseconds. */
 const kBatchMs = 500;
-/** The same time for records in which neither the target nor its state has changed. */
+/** Time over which records are collected in which neither the target nor its state has changed, in milliseconds. */
 const kLearnedBatchMs = 5_000;
 /** Delay after a failed write, in milliseconds. */
 const kWriteRetryMs = 1_000;
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -43,19 +43,19 @@
 const kDrainNoticeMs = 2_300;
 /** Minimum time for which requests that arrive during the close are served, in milliseconds. */
 const kLingerMs = 100;
-/** Part of the shutdown time that is kept as a reserve, in milliseconds. */
+/** Share of the shutdown time that is reserved for closing the links, in milliseconds. */
 const kStopMarginMs = 400;
 /** Interval between checks for running calls during a shutdown, in milliseconds. */
 const kStopPollMs = 20;
 /** Interval between the periodic checks of levels, links, deadlines and connections, in milliseconds. */
 const kTickMs = 100;
-/** The same interval while no call is in flight, in milliseconds; longer, to reduce the cost of an idle daemon. */
+/** Interval between the periodic checks while no call is in flight, in milliseconds; longer, to save CPU time. */
 const kIdleTickMs = 200;
 /** Interval between comparisons of the learned call chains with the record of this host, in milliseconds. */
 const kLearnedCheckMs = 10_000;
 /** Interval between log lines with totals, in milliseconds. */
 const kTotalsIntervalMs = 10_000;
-/** Maximum number of targets listed in the log line about excluded targets. */
+/** Maximum number of targets listed in the log line about targets that receive no calls. */
 const kMaxLoggedTargets = 5;
 /** Number of daemons that each daemon notifies of a new version. */
 const kVersionFanout = 4;
@@ -213,7 +213,7 @@
     }
     this._stopping = true;
     const startedAt = monotonicMs();
-    this._events.info('stop', 'Graceful shutdown started.', { calls: this._calls.inFlight, atGate: this._gate.pending });
+    this._events.info('stop', 'Planned stop started.', { calls: this._calls.inFlight, atGate: this._gate.pending });
     const latest = startedAt + this._settings.stopSeconds * 1_000 - kStopMarginMs;
     // The gate stays open meanwhile, because closing it at once would leave the target idle until callers switch to other daemons.
     await pause(kDrainNoticeMs);
--- a/packages/mesh/src/app/meshMetrics.ts
+++ b/packages/mesh/src/app/meshMetrics.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Prometheus metrics of a routing daemon. The number of label values is bounded, whatever callers send. */
+/** Prometheus metrics of a routing daemon. The number of label values is bounded for any input of callers. */
 
 import type { GateRefusal } from '@gentiandrum/core';
 import { Counter, Gauge, type Metric, Registry } from 'prom-client';
--- a/packages/mesh/src/app/records/recordSync.ts
+++ b/packages/mesh/src/app/records/recordSync.ts
@@ -20,7 +20,7 @@
 
   constructor(private readonly _directory: TargetDirectory) {}
 
-  /** Whether this daemon has once known all hosts that the log or another daemon knew. */
+  /** Whether this daemon has known, at least once, all hosts in the log or all hosts that another daemon knew. */
   get complete(): boolean {
     return this._complete;
   }
--- a/packages/mesh/src/app/runMesh.ts
+++ b/packages/mesh/src/app/runMesh.ts
@@ -23,10 +23,10 @@
   }
   const events = new EventLog(settings.id, settings.logLinesPerSecond);
   process.on('unhandledRejection', (err) => {
-    events.warn('start', 'Unhandled error in the daemon.', { err: err instanceof Error ? err.stack : String(err) });
+    events.warn('start', 'Unhandled promise rejection.', { err: err instanceof Error ? err.stack : String(err) });
   });
   process.on('uncaughtException', (err) => {
-    events.warn('start', 'Unhandled error in the daemon.', { err: err.stack });
+    events.warn('start', 'Uncaught exception.', { err: err.stack });
   });
   const daemon = new MeshDaemon(settings, createPlatform(settings, events), events);
   process.on('SIGHUP', () => {
--- a/packages/mesh/src/app/workspaces/quotaService.ts
+++ b/packages/mesh/src/app/workspaces/quotaService.ts
@@ -157,7 +157,7 @@
     }
   }
 
-  /** Returns unused tokens; called several times per second. */
+  /** Applies changes of the members, and returns unused tokens; called several times per second. */
   check(): void {
     this._updateMembers();
     for (const [host, counts] of this._returned) {
