--- a/packages/mesh/src/client/peerLink.ts
+++ b/packages/mesh/src/client/peerLink.ts
@@ -24,7 +24,7 @@
 const kIdlePingAfterMs = 2_000;
 /** Largest number of times the ping interval doubles while the peer responds: limits pings, and still finds a dead link in a second. */
 const kMaxPingBackoff = 2;
-/** The same for links without pending calls. */
+/** Largest number of times the ping interval doubles for a link without pending calls. */
 const kMaxIdlePingBackoff = 1;
 
 export interface PeerLinkEvents {
--- a/packages/mesh/src/client/peerMessages.ts
+++ b/packages/mesh/src/client/peerMessages.ts
@@ -36,7 +36,7 @@
   | { type: 'erased'; hosts: string[] }
   /** The platform's log has the receiver's record up to this epoch and revision. */
   | { type: 'logged'; epoch: number; revision: number }
-  /** Sent by a reader of the platform's log; `well` tells whether the log responds to it. */
+  /** Sent by a reader of the platform's log; `well` is true if the log responds to it. */
   | { type: 'reading'; well: boolean; version: number; digests: Digests }
   /** Requests a proof of the configuration's freshness. */
   | { type: 'proof_wanted'; id: number }
--- a/packages/mesh/src/client/targetClient.ts
+++ b/packages/mesh/src/client/targetClient.ts
@@ -100,7 +100,7 @@
         this._crashDetector.addAbandoned(call);
       }
       if (runResult.result.kind === 'lost') {
-        // The rest of this response cannot be told from the next one on the connection.
+        // The rest of this response cannot be distinguished from the next one on the connection.
         connection.close('incomplete response');
       }
       done(runResult);
@@ -208,7 +208,7 @@
       const reason = status === 421 ? 'wrong_instance' : 'target_refused';
       return { result: { kind: 'not_run', reason, retryAfterMs: 0 }, responded: true };
     }
-    // A response that ends with its connection cannot be told from a truncated one, for example after a crash of the target.
+    // A response that ends with its connection cannot be distinguished from a truncated one, for example after a crash of the target.
     if (!headers.framed) {
       return { result: { kind: 'lost', reason: 'answer without a length' }, responded: false };
     }
