--- a/tests/mesh/callExchange.spec.ts
+++ b/tests/mesh/callExchange.spec.ts
@@ -34,7 +34,7 @@
     candidates: () => targets,
     choose: (candidates, excluded) => candidates.find(({ host }) => !excluded.has(host)),
     offer: (_target, _call, done) => {
-      done(results[next++] ?? { kind: 'lost', reason: 'no more ends' }, kFull);
+      done(results[next++] ?? { kind: 'lost', reason: 'no more results' }, kFull);
       return { cancel: () => undefined };
     },
     chains: new ChainModel(),
--- a/tests/mesh/callers.spec.ts
+++ b/tests/mesh/callers.spec.ts
@@ -177,7 +177,7 @@
     }),
   );
 
-  itSerial('should be limited in pipelined requests and unread responses, and receive all responses', (t) =>
+  itSerial('should have pipelined requests delayed until they read the responses, and receive all responses', (t) =>
     withFleet(async (fleet) => {
       // Long timeouts and a slot for every request in flight, so that all are served even on a slow machine.
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 60_000 }]);
--- a/tests/mesh/leaving.spec.ts
+++ b/tests/mesh/leaving.spec.ts
@@ -76,7 +76,7 @@
 });
 
 describe('announcements of a target that arrive out of order', () => {
-  itSerial('should keep a target gone for a daemon whose first announcement of it says so', (t) =>
+  itSerial('should keep a target gone for a daemon whose first announcement of it reports it as gone', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
       const host = await fleet.add('h1', 'reads', { beat: false });
--- a/tests/mesh/logFollower.spec.ts
+++ b/tests/mesh/logFollower.spec.ts
@@ -286,7 +286,7 @@
       await zone.run(5_000);
       zone.log.calls = 0;
       await zone.run(20_000);
-      // Readers keep retrying, about 200 calls, while the other members poll at increasing intervals.
+      // Readers keep retrying, while the other members poll at increasing intervals.
       t.true(zone.log.calls <= 260, String(zone.log.calls));
     }),
   );
--- a/tests/mesh/peerLink.spec.ts
+++ b/tests/mesh/peerLink.spec.ts
@@ -107,7 +107,7 @@
           socket.emit('data', new MessageWriter().encode({ type: 'pong' }));
         }
       }
-      // 30 without backoff.
+      // Without backoff there would be 30 pings.
       t.true(pings >= 7 && pings <= 12, String(pings));
     });
   });
