--- a/tests/mesh/deadTarget.spec.ts
+++ b/tests/mesh/deadTarget.spec.ts
@@ -28,17 +28,17 @@
       t.is(await b.target.sendHeartbeat(b.control), 200);
       await new Promise((resolve) => setTimeout(resolve, 250));
       t.is(b.daemon.record.state, 'unreachable');
-      const back = new UpstreamStandin('i-b', 's');
-      back.port = Number(port);
-      await back.start();
+      const restarted = new UpstreamStandin('i-b', 's');
+      restarted.port = Number(port);
+      await restarted.start();
       try {
         await fleet.until('the target of b to be ready again', () => b.daemon.record.state === 'ready');
         await fleet.until('the target of b to be used', async () => {
           await fleet.call(b, '/s/4');
-          return back.seen.length > 0;
+          return restarted.seen.length > 0;
         });
       } finally {
-        back.close();
+        restarted.close();
       }
     });
   });
--- a/tests/mesh/leaving.spec.ts
+++ b/tests/mesh/leaving.spec.ts
@@ -15,16 +15,16 @@
   itSerial('should receive no new calls from any daemon after its announcement is acknowledged', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
-      const stays = await fleet.add('h1', 'reads');
-      const leaves = await fleet.add('h2', 'reads', { zone: 'z2' });
+      const ready = await fleet.add('h1', 'reads');
+      const draining = await fleet.add('h2', 'reads', { zone: 'z2' });
       await fleet.untilServing('/a/warm');
-      t.is(await leaves.target.sendHeartbeat(leaves.control, 'draining'), 200);
-      const before = leaves.target.seen.length;
+      t.is(await draining.target.sendHeartbeat(draining.control, 'draining'), 200);
+      const before = draining.target.seen.length;
       const responses = await Promise.all(
-        [...Array.from({ length: 10 }, () => [stays, leaves]).flat()].map((host) => fleet.call(host, '/a/x')),
+        [...Array.from({ length: 10 }, () => [ready, draining]).flat()].map((host) => fleet.call(host, '/a/x')),
       );
       t.true(responses.every(({ status }) => status === 200));
-      t.is(leaves.target.seen.length, before);
+      t.is(draining.target.seen.length, before);
     }),
   );
 
@@ -168,14 +168,14 @@
   itSerial('should keep using the target while callers switch to other daemons', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads' }]);
-      const stops = await fleet.add('h1', 'reads');
+      const stopping = await fleet.add('h1', 'reads');
       const other = await fleet.add('h2', 'other');
       await fleet.untilServing('/a/warm');
-      const stopped = stops.daemon.stop();
-      t.is(await fleet.readiness(stops), 503);
+      const stopped = stopping.daemon.stop();
+      t.is(await fleet.readiness(stopping), 503);
       t.is((await fleet.call(other, '/a/x')).status, 200);
       await stopped;
-      t.is(stops.target.running, 0);
+      t.is(stopping.target.running, 0);
     }),
   );
 });
@@ -207,13 +207,13 @@
       await fleet.untilServing('/a/warm');
       const real = fleet.storeAddress;
       fleet.storeAddress = '127.0.0.1:9';
-      const cutOff = await fleet.add('h2', 'other');
+      const disconnected = await fleet.add('h2', 'other');
       fleet.storeAddress = real;
-      fleet.store.put(kTopic, 'h2', recordOf(cutOff.daemon.record));
-      await fleet.until('the disconnected daemon to serve', async () => (await fleet.call(cutOff, '/a/x')).status === 200);
+      fleet.store.put(kTopic, 'h2', recordOf(disconnected.daemon.record));
+      await fleet.until('the disconnected daemon to serve', async () => (await fleet.call(disconnected, '/a/x')).status === 200);
       fleet.configure([{ prefix: '/b/', service: 'reads' }]);
-      await fleet.until('the new version to be in force there', async () => (await fleet.call(cutOff, '/a/x')).status === 404);
-      t.is((await fleet.call(cutOff, '/b/x')).status, 200);
+      await fleet.until('the new version to be in force there', async () => (await fleet.call(disconnected, '/a/x')).status === 404);
+      t.is((await fleet.call(disconnected, '/b/x')).status, 200);
       t.is((await fleet.call(host, '/b/x')).status, 200);
     }),
   );
@@ -287,16 +287,16 @@
   itSerial('should complete running calls, be unready at once, and close caller connections', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 4_000 }]);
-      const stops = await fleet.add('h1', 'reads');
-      const stays = await fleet.add('h2', 'reads');
+      const stopping = await fleet.add('h1', 'reads');
+      const other = await fleet.add('h2', 'reads');
       await fleet.untilServing('/a/warm');
-      stops.target.workMs = 700;
-      stays.target.workMs = 700;
-      const running = [stops, stays, stops, stays].map((host) => fleet.call(host, '/a/x', { remainingMs: 4_000 }));
-      await fleet.until('the targets to work', () => stops.target.running + stays.target.running === running.length);
-      const stopped = stops.daemon.stop();
-      t.is(await fleet.readiness(stops), 503);
-      const late = await fleet.call(stops, '/a/x');
+      stopping.target.workMs = 700;
+      other.target.workMs = 700;
+      const running = [stopping, other, stopping, other].map((host) => fleet.call(host, '/a/x', { remainingMs: 4_000 }));
+      await fleet.until('the targets to work', () => stopping.target.running + other.target.running === running.length);
+      const stopped = stopping.daemon.stop();
+      t.is(await fleet.readiness(stopping), 503);
+      const late = await fleet.call(stopping, '/a/x');
       t.is(late.status, 200);
       t.is(late.headers.connection, 'close');
       t.deepEqual(
@@ -310,15 +310,15 @@
   itSerial('should serve a request that arrives late in the shutdown and takes longer than the remaining wait', (t) =>
     withFleet(async (fleet) => {
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 4_000 }]);
-      const stops = await fleet.add('h1', 'other');
-      const stays = await fleet.add('h2', 'reads');
+      const stopping = await fleet.add('h1', 'other');
+      const other = await fleet.add('h2', 'reads');
       await fleet.untilServing('/a/warm');
-      stays.target.workMs = 900;
-      const stopped = stops.daemon.stop().then(() => {
-        fleet.kill(stops);
+      other.target.workMs = 900;
+      const stopped = stopping.daemon.stop().then(() => {
+        fleet.kill(stopping);
       });
       await new Promise((resolve) => setTimeout(resolve, 2_200));
-      const late = await fleet.call(stops, '/a/x', { remainingMs: 4_000 });
+      const late = await fleet.call(stopping, '/a/x', { remainingMs: 4_000 });
       t.is(late.status, 200);
       await stopped;
     }),
--- a/tests/mesh/logFollower.spec.ts
+++ b/tests/mesh/logFollower.spec.ts
@@ -49,7 +49,7 @@
     private readonly _log: FakeLog,
     private readonly _host: string,
     private readonly _time: VirtualTime,
-    private readonly _onAnswer: () => void,
+    private readonly _onResponse: () => void,
   ) {}
 
   follow(on: boolean): void {
@@ -69,7 +69,7 @@
     if (this.following && this._time.now >= this._nextRead) {
       this._nextRead = this._time.now + (this._call() ? kReadDurationMs : 1_200);
     } else if (this.following && !this.failing) {
-      this._onAnswer();
+      this._onResponse();
     }
   }
 
@@ -78,7 +78,7 @@
     this.failing = this._log.refused.has(this._host);
     if (!this.failing) {
       this.respondedAt = monotonicMs();
-      this._onAnswer();
+      this._onResponse();
     }
     return !this.failing;
   }
@@ -359,10 +359,10 @@
   itSerial('should be written by its host', (t) =>
     withZone(10, async (zone) => {
       await zone.run(5_000);
-      const lone = zone.daemons.find(({ follower }) => !follower.readsLog);
-      lone?.directory.merge(zone.recordOf(lone.host, 2));
+      const member = zone.daemons.find(({ follower }) => !follower.readsLog);
+      member?.directory.merge(zone.recordOf(member.host, 2));
       await zone.run(8_000);
-      t.is(zone.log.written.get(lone?.host ?? '')?.revision, 2);
+      t.is(zone.log.written.get(member?.host ?? '')?.revision, 2);
     }),
   );
 });
--- a/tests/mesh/meshFleet.ts
+++ b/tests/mesh/meshFleet.ts
@@ -155,8 +155,8 @@
     service: string,
     options: { zone?: string; beat?: boolean; target?: UpstreamStandin; settings?: Record<string, unknown> } = {},
   ): Promise<FleetHost> {
-    const { settings, target, host: place } = await this.prepare(id, service, options);
-    return this._start(settings, target, place, options.beat !== false);
+    const { settings, target, host: endpoints } = await this.prepare(id, service, options);
+    return this._start(settings, target, endpoints, options.beat !== false);
   }
 
   /** Starts the daemon of a prepared host, without an announcement of its target. */
@@ -165,18 +165,18 @@
   }
 
   /** Restarts the daemon of a host with the same target, without an announcement of the target. */
-  async restart({ settings, target, ...place }: FleetHost): Promise<FleetHost> {
-    return this._start(settings, target, place, false);
+  async restart({ settings, target, ...endpoints }: FleetHost): Promise<FleetHost> {
+    return this._start(settings, target, endpoints, false);
   }
 
-  private async _start(settings: MeshSettings, target: UpstreamStandin, place: HostEndpoints, beat: boolean): Promise<FleetHost> {
+  private async _start(settings: MeshSettings, target: UpstreamStandin, endpoints: HostEndpoints, announce: boolean): Promise<FleetHost> {
     const { id } = settings;
     const events = new EventLog(id, 0, 0);
     const daemon = new MeshDaemon(settings, createPlatform(settings, events), events);
     await daemon.start();
-    const host = { ...place, settings, daemon, target };
+    const host = { ...endpoints, settings, daemon, target };
     this.hosts.push(host);
-    if (beat) {
+    if (announce) {
       await target.sendHeartbeat(host.control);
     }
     return host;
--- a/tests/mesh/peerLink.spec.ts
+++ b/tests/mesh/peerLink.spec.ts
@@ -12,7 +12,7 @@
 /** How often a daemon checks its links, in milliseconds. */
 const kCheckMs = 100;
 
-class SilentSocket extends Duplex {
+class NullSocket extends Duplex {
   setNoDelay(): this {
     return this;
   }
@@ -31,7 +31,7 @@
 ): void {
   const time = new VirtualTime();
   const events: string[] = [];
-  const socket = new SilentSocket();
+  const socket = new NullSocket();
   const link = new PeerLink(socket as unknown as Socket, {
     onMessage: () => undefined,
     onClose: (_link, reason) => events.push(`closed: ${reason}`),
--- a/tests/mesh/storeEra.spec.ts
+++ b/tests/mesh/storeEra.spec.ts
@@ -11,8 +11,8 @@
 import { describe, itSerial } from '../support/describe.js';
 import { withFleet } from './meshFleet.js';
 
-const kRecords = 'keyed.gentiandrum-hosts';
-const kConfig = 'keyed.op';
+const kRecordsTopic = 'keyed.gentiandrum-hosts';
+const kConfigTopic = 'keyed.op';
 
 describe('a store that is restored from an older copy', () => {
   itSerial('should not bring an older configuration into force, and should deliver the next one at any offset', (t) =>
@@ -24,7 +24,7 @@
       const lost = [fleet.configure([{ prefix: '/s/', service: 's' }]), fleet.configure([{ prefix: '/new/', service: 's' }])];
       await fleet.until('the newest version to be in force', async () => (await fleet.call(host, '/new/1')).status === 200);
       // Writes as many versions as were lost, so that the old offset is the end of the log again.
-      fleet.store.rewind(kConfig, lost.length);
+      fleet.store.rewind(kConfigTopic, lost.length);
       lost.forEach((_, i) => fleet.configure([{ prefix: `/newer/${i}/`, service: 's' }]));
       await fleet.until(
         'the version written after the restore to be in force',
@@ -42,10 +42,10 @@
         await fleet.add(id, 's');
       }
       await fleet.untilServing('/s/1');
-      const written = (): string[] => [...fleet.store.newest(kRecords).keys()].sort();
+      const written = (): string[] => [...fleet.store.newest(kRecordsTopic).keys()].sort();
       await fleet.until('all records to be in the log', () => written().length === 3);
       for (let times = 0; times < 2; times++) {
-        fleet.store.rewind(kRecords, 100);
+        fleet.store.rewind(kRecordsTopic, 100);
         t.deepEqual(written(), []);
         await fleet.until('all records to be in the log again', () => written().length === 3);
       }
