--- a/packages/mesh/src/client/peerNetwork.ts
+++ b/packages/mesh/src/client/peerNetwork.ts
@@ -22,7 +22,7 @@
 
 /** Largest number of hosts for which a daemon keeps links to all others. */
 const kFullMeshHosts = 17;
-/** Links that a daemon of a larger fleet keeps open: they spread new versions while the zone's readers are disconnected. */
+/** Number of links that a daemon of a larger fleet keeps open; they spread new versions while the zone's readers are disconnected. */
 const kPersistentLinks = 6;
 /** Longest wait for the peers to close their links at shutdown, and the polling interval, in milliseconds. */
 const kShutdownMs = 100;
@@ -47,7 +47,7 @@
   onSuspects(suspects: Suspicion[]): void;
   /** Suspicions to send over a new link. */
   suspects(): Suspicion[];
-  /** Another host responds at the address of this host. */
+  /** The daemon at the address of `host` reports `newHost` as its own name. */
   onAddressReused(host: string, newHost: string): void;
   /** A link to a host was opened or lost, or became responsive or unresponsive. */
   onReachabilityChange(host: string, reachable: boolean): void;
