--- a/packages/mesh/src/app/calls/callExchange.ts
+++ b/packages/mesh/src/app/calls/callExchange.ts
@@ -37,7 +37,10 @@
 const kMinRemainingMs = 5;
 /** Share of the latency target that an external request may spend in a gate's queue before the gate refuses it. */
 const kExternalWaitShare = 0.2;
-/** Share of the latency target that an internal call may spend in a gate's queue; higher than the external one, because a refusal discards the work of all its callers. */
+/**
+ * Share of the latency target that an internal call may spend in a gate's queue before the gate refuses it; higher than the external
+ * share, because a refusal discards the work of all its callers.
+ */
 const kInternalWaitShare = 0.5;
 
 /** Share of the remaining time that a suspect may wait at a gate. */
--- a/packages/mesh/src/app/log/logFollower.ts
+++ b/packages/mesh/src/app/log/logFollower.ts
@@ -5,7 +5,7 @@
 
 /**
  * Decides what this daemon reads from and writes to the platform's log. The readers of a zone follow the log for all its daemons; other
- * daemons poll the log only while they know of no reader. This keeps the number of log calls independent of the number of hosts.
+ * daemons poll the log only while they know of no reader. This keeps the number of log calls from growing with the number of hosts.
  */
 
 import { monotonicMs, ReaderRank, type ReaderRole, type TargetDirectory, type TargetRecord } from '@gentiandrum/core';
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -43,7 +43,7 @@
 const kDrainNoticeMs = 2_300;
 /** Minimum time for which requests that arrive during the close are served, in milliseconds. */
 const kLingerMs = 100;
-/** Share of the shutdown time that is reserved for closing the links, in milliseconds. */
+/** Time at the end of the shutdown that is reserved for closing the links, in milliseconds. */
 const kStopMarginMs = 400;
 /** Interval between checks for running calls during a shutdown, in milliseconds. */
 const kStopPollMs = 20;
