--- a/packages/mesh/src/app/runMesh.ts
+++ b/packages/mesh/src/app/runMesh.ts
@@ -23,10 +23,10 @@
   }
   const events = new EventLog(settings.id, settings.logLinesPerSecond);
   process.on('unhandledRejection', (err) => {
-    events.warn('start', 'Unhandled error in the daemon.', { err: err instanceof Error ? err.stack : String(err) });
+    events.warn('start', 'Unhandled promise rejection.', { err: err instanceof Error ? err.stack : String(err) });
   });
   process.on('uncaughtException', (err) => {
-    events.warn('start', 'Unhandled error in the daemon.', { err: err.stack });
+    events.warn('start', 'Uncaught exception.', { err: err.stack });
   });
   const daemon = new MeshDaemon(settings, createPlatform(settings, events), events);
   process.on('SIGHUP', () => {
@@ -58,7 +58,7 @@
 function reload(file: string, settings: MeshSettings, events: EventLog): void {
   try {
     const changed = JSON.stringify(loadMeshSettings(file)) !== JSON.stringify(settings);
-    events.notable('start', changed ? 'The settings changed; they take effect at the next start.' : 'The settings have not changed.', {});
+    events.info('start', changed ? 'The settings changed; they take effect at the next start.' : 'The settings have not changed.', {});
   } catch (err) {
     events.warn('start', 'The changed settings are not valid.', { err: String(err) });
   }
--- a/packages/mesh/src/client/peerMessages.ts
+++ b/packages/mesh/src/client/peerMessages.ts
@@ -36,7 +36,7 @@
   | { type: 'erased'; hosts: string[] }
   /** The platform's log has the receiver's record up to this epoch and revision. */
   | { type: 'logged'; epoch: number; revision: number }
-  /** Sent by a reader of the platform's log; `well` tells whether the log responds to it. */
+  /** Sent by a reader of the platform's log; `well` is true if the log responds to it. */
   | { type: 'reading'; well: boolean; version: number; digests: Digests }
   /** Requests a proof of the configuration's freshness. */
   | { type: 'proof_wanted'; id: number }
@@ -127,9 +127,9 @@
       if (this._bytes < kLengthBytes + length) {
         return messages;
       }
-      const whole = this._joinPending(kLengthBytes + length);
-      messages.push(parseFields(unpackr.unpack(whole.subarray(kLengthBytes, kLengthBytes + length)) as unknown[], this._names));
-      this._pending = [whole.subarray(kLengthBytes + length)];
+      const frame = this._joinPending(kLengthBytes + length);
+      messages.push(parseFields(unpackr.unpack(frame.subarray(kLengthBytes, kLengthBytes + length)) as unknown[], this._names));
+      this._pending = [frame.subarray(kLengthBytes + length)];
       this._bytes -= kLengthBytes + length;
     }
     return messages;
--- a/tests/mesh/callers.spec.ts
+++ b/tests/mesh/callers.spec.ts
@@ -119,7 +119,7 @@
     }),
   );
 
-  itSerial('should have an idempotent request aborted on the target when they disconnect, and no other', (t) =>
+  itSerial('should have an idempotent request aborted on the target when they disconnect, and a non-idempotent one completed', (t) =>
     withFleet(async (fleet) => {
       const host = await startHost(fleet);
       host.target.workMs = 400;
@@ -177,7 +177,7 @@
     }),
   );
 
-  itSerial('should be limited in pipelined requests and unread responses, and receive all responses', (t) =>
+  itSerial('should have pipelined requests delayed until they read the responses, and receive all responses', (t) =>
     withFleet(async (fleet) => {
       // Long timeouts and a slot for every request in flight, so that all are served even on a slow machine.
       fleet.configure([{ prefix: '/a/', service: 'reads', timeoutMs: 60_000 }]);
--- a/tests/mesh/deadTarget.spec.ts
+++ b/tests/mesh/deadTarget.spec.ts
@@ -28,23 +28,23 @@
       t.is(await b.target.sendHeartbeat(b.control), 200);
       await new Promise((resolve) => setTimeout(resolve, 250));
       t.is(b.daemon.record.state, 'unreachable');
-      const back = new UpstreamStandin('i-b', 's');
-      back.port = Number(port);
-      await back.start();
+      const restarted = new UpstreamStandin('i-b', 's');
+      restarted.port = Number(port);
+      await restarted.start();
       try {
         await fleet.until('the target of b to be ready again', () => b.daemon.record.state === 'ready');
         await fleet.until('the target of b to be used', async () => {
           await fleet.call(b, '/s/4');
-          return back.seen.length > 0;
+          return restarted.seen.length > 0;
         });
       } finally {
-        back.close();
+        restarted.close();
       }
     });
   });
 });
 
-/** Guards against a target that never receives calls again because its outdated slow times are not renewed. */
+/** Guards against a target that never receives calls again because the latency of its first responses is never updated. */
 describe('a target whose first responses were slow', () => {
   itSerial('should be used again once it is fast', async (t) => {
     await withFleet(async (fleet) => {
--- a/tests/mesh/logFollower.spec.ts
+++ b/tests/mesh/logFollower.spec.ts
@@ -40,7 +40,7 @@
 
 /** Fake topic: each successful read takes `kReadDurationMs`, and delivers a new version at once. */
 class FakeView {
-  answeredAt = -Infinity;
+  respondedAt = -Infinity;
   failing = false;
   following = false;
   private _nextRead = 0;
@@ -49,7 +49,7 @@
     private readonly _log: FakeLog,
     private readonly _host: string,
     private readonly _time: VirtualTime,
-    private readonly _onAnswer: () => void,
+    private readonly _onResponse: () => void,
   ) {}
 
   follow(on: boolean): void {
@@ -69,7 +69,7 @@
     if (this.following && this._time.now >= this._nextRead) {
       this._nextRead = this._time.now + (this._call() ? kReadDurationMs : 1_200);
     } else if (this.following && !this.failing) {
-      this._onAnswer();
+      this._onResponse();
     }
   }
 
@@ -77,8 +77,8 @@
     this._log.calls++;
     this.failing = this._log.refused.has(this._host);
     if (!this.failing) {
-      this.answeredAt = monotonicMs();
-      this._onAnswer();
+      this.respondedAt = monotonicMs();
+      this._onResponse();
     }
     return !this.failing;
   }
@@ -214,7 +214,7 @@
   private _take(daemon: FakeDaemon, from: FakeDaemon, message: PeerMessage): void {
     switch (message.type) {
       case 'reading':
-        daemon.follower.reported(from.host, message.well);
+        daemon.follower.recordReport(from.host, message.well);
         daemon.take(message.version, this);
         return;
       case 'logged':
@@ -286,7 +286,7 @@
       await zone.run(5_000);
       zone.log.calls = 0;
       await zone.run(20_000);
-      // Readers keep retrying, about 200 calls, while the other members poll at increasing intervals.
+      // Readers keep retrying, while the other members poll at increasing intervals.
       t.true(zone.log.calls <= 260, String(zone.log.calls));
     }),
   );
@@ -359,10 +359,10 @@
   itSerial('should be written by its host', (t) =>
     withZone(10, async (zone) => {
       await zone.run(5_000);
-      const lone = zone.daemons.find(({ follower }) => !follower.readsLog);
-      lone?.directory.merge(zone.recordOf(lone.host, 2));
+      const member = zone.daemons.find(({ follower }) => !follower.readsLog);
+      member?.directory.merge(zone.recordOf(member.host, 2));
       await zone.run(8_000);
-      t.is(zone.log.written.get(lone?.host ?? '')?.revision, 2);
+      t.is(zone.log.written.get(member?.host ?? '')?.revision, 2);
     }),
   );
 });
--- a/tests/mesh/peerLink.spec.ts
+++ b/tests/mesh/peerLink.spec.ts
@@ -12,7 +12,7 @@
 /** How often a daemon checks its links, in milliseconds. */
 const kCheckMs = 100;
 
-class SilentSocket extends Duplex {
+class NullSocket extends Duplex {
   setNoDelay(): this {
     return this;
   }
@@ -31,11 +31,11 @@
 ): void {
   const time = new VirtualTime();
   const events: string[] = [];
-  const socket = new SilentSocket();
+  const socket = new NullSocket();
   const link = new PeerLink(socket as unknown as Socket, {
     onMessage: () => undefined,
     onClose: (_link, reason) => events.push(`closed: ${reason}`),
-    onUnresponsive: (_link, unresponsive) => events.push(unresponsive ? 'silent' : 'heard'),
+    onUnresponsive: (_link, unresponsive) => events.push(unresponsive ? 'unresponsive' : 'responsive'),
   });
   let now = 0;
   const checkUntil = (ms: number): void => {
@@ -60,11 +60,11 @@
       checkUntil(200);
       t.deepEqual(events, []);
       checkUntil(500);
-      t.deepEqual(events, ['silent']);
+      t.deepEqual(events, ['unresponsive']);
       checkUntil(1_100);
-      t.deepEqual(events, ['silent']);
+      t.deepEqual(events, ['unresponsive']);
       checkUntil(1_400);
-      t.deepEqual(events, ['silent', 'closed: no response to a ping']);
+      t.deepEqual(events, ['unresponsive', 'closed: no response to a ping']);
     });
   });
 
@@ -73,7 +73,7 @@
       link.pendingCalls = 1;
       checkUntil(500);
       socket.emit('data', new MessageWriter().encode({ type: 'pong' }));
-      t.deepEqual(events, ['silent', 'heard']);
+      t.deepEqual(events, ['unresponsive', 'responsive']);
       t.true(link.open);
     });
   });
@@ -87,28 +87,28 @@
         socket.emit('data', new MessageWriter().encode({ type: 'pong' }));
       }
       checkUntil(kResponsiveMs + 1_000);
-      t.deepEqual(events, ['silent']);
+      t.deepEqual(events, ['unresponsive']);
       checkUntil(kResponsiveMs + 2_000);
-      t.deepEqual(events, ['silent', 'closed: no response to a ping']);
+      t.deepEqual(events, ['unresponsive', 'closed: no response to a ping']);
     });
   });
 
   itSerial('should be pinged less often while it responds', (t) => {
     withLink((link, socket, checkUntil) => {
-      let probes = 0;
+      let pings = 0;
       link.send = () => {
-        probes++;
+        pings++;
       };
       link.pendingCalls = 1;
       for (let now = kCheckMs; now <= 6_000; now += kCheckMs) {
-        const before = probes;
+        const before = pings;
         checkUntil(now);
-        if (probes > before) {
+        if (pings > before) {
           socket.emit('data', new MessageWriter().encode({ type: 'pong' }));
         }
       }
-      // 30 without backoff.
-      t.true(probes >= 7 && probes <= 12, String(probes));
+      // Without backoff there would be 30 pings.
+      t.true(pings >= 7 && pings <= 12, String(pings));
     });
   });
 
@@ -127,7 +127,7 @@
       checkUntil(2_000);
       t.deepEqual(events, []);
       checkUntil(3_600);
-      t.deepEqual(events, ['silent', 'closed: no response to a ping']);
+      t.deepEqual(events, ['unresponsive', 'closed: no response to a ping']);
     });
   });
 });
