--- a/tests/support/fleet.ts
+++ b/tests/support/fleet.ts
@@ -18,7 +18,7 @@
 const kDaemonBin = fileURLToPath(new URL('../../../packages/daemon/bin/gentiandrumd.js', import.meta.url));
 const kCliBin = fileURLToPath(new URL('../../../packages/cli/bin/gentiandrum.js', import.meta.url));
 const kStandin = fileURLToPath(new URL('../standins/main.js', import.meta.url));
-const kReadyTimeoutMs = 20_000;
+const kWaitTimeoutMs = 20_000;
 const kPollMs = 50;
 
 /** A running daemon and its target, if any. */
@@ -216,7 +216,7 @@
 
 /** Polls until a condition is true; an error of the condition counts as false. Throws after a timeout. */
 export async function until(what: string, condition: () => Promise<boolean>): Promise<void> {
-  const deadline = performance.now() + kReadyTimeoutMs;
+  const deadline = performance.now() + kWaitTimeoutMs;
   for (;;) {
     const done = await condition().catch((err: unknown) => {
       if (err instanceof ExitedEarlyError) {
