--- a/tests/support/fleet.ts
+++ b/tests/support/fleet.ts
@@ -207,14 +207,14 @@
   }
 }
 
-/** A daemon exited during its start, for example because it could not listen. Ends the wait at once with its log. */
+/** A daemon exited during its start, for example because it could not listen. `until` rethrows it; the message contains the log. */
 class ExitedEarlyError extends Error {
   constructor(id: string, code: number, logs: readonly string[]) {
     super(`expected daemon ${id} to respond, but it exited with code ${code}: ${logs.join('\n')}`);
   }
 }
 
-/** Polls until a condition is true; an error of the condition counts as false. Throws after a timeout. */
+/** Polls until a condition is true; an error other than `ExitedEarlyError` counts as false. Throws after a timeout. */
 export async function until(what: string, condition: () => Promise<boolean>): Promise<void> {
   const deadline = performance.now() + kWaitTimeoutMs;
   for (;;) {
