--- a/tests/matrix/checkers.ts
+++ b/tests/matrix/checkers.ts
@@ -22,7 +22,7 @@
     ...retriesBounded(journal),
     ...importantShedLast(journal),
     ...completeResponses(journal),
-    ...notRunIsTrue(journal),
+    ...notRunIsCorrect(journal),
     ...atMostOnce(journal),
     ...closedGateStartsNothing(journal),
     ...plannedStopsInterruptNothing(journal),
@@ -52,7 +52,7 @@
   );
 }
 
-function notRunIsTrue({ tries, runs }: Journal): string[] {
+function notRunIsCorrect({ tries, runs }: Journal): string[] {
   return tries.flatMap(({ request, served, key }) => {
     if (served?.kind !== 'error' || served.outcome !== 'not_run') {
       return [];
@@ -94,26 +94,28 @@
 }
 
 function configurationIsConsistent({ versions, submitted }: Journal, folds: Map<string, ConfigFold>): string[] {
-  const faults: string[] = [];
+  const descriptions: string[] = [];
   for (const [daemon, heldVersions] of versions) {
     if (heldVersions.some((version, i) => i > 0 && version < (heldVersions[i - 1] ?? 0))) {
-      faults.push(`8 configuration: ${daemon} went back: ${heldVersions.join(' ')}`);
+      descriptions.push(`8 configuration: ${daemon} went back: ${heldVersions.join(' ')}`);
     }
   }
   const texts = new Set([...folds.values()].map((fold) => JSON.stringify([fold.version, fold.written])));
   if (texts.size > 1) {
-    faults.push(`8 configuration: daemons differ at the same offset: ${[...texts].join(' / ')}`);
+    descriptions.push(`8 configuration: daemons differ at the same offset: ${[...texts].join(' / ')}`);
   }
   for (const { patchId, kind, version } of submitted) {
     for (const [daemon, fold] of folds) {
       const verdict = fold.verdict(patchId);
       if (kind === 'accepted' && (verdict?.kind !== 'accepted' || verdict.version !== version)) {
-        faults.push(`8 configuration: ${patchId} was told accepted as ${version ?? 0}, and ${daemon} holds ${JSON.stringify(verdict)}`);
+        descriptions.push(
+          `8 configuration: ${patchId} was told accepted as ${version ?? 0}, and ${daemon} holds ${JSON.stringify(verdict)}`,
+        );
       }
       if ((kind === 'conflict' || kind === 'invalid') && verdict?.kind === 'accepted') {
-        faults.push(`8 configuration: ${patchId} was told ${kind}, and is in force`);
+        descriptions.push(`8 configuration: ${patchId} was told ${kind}, and is in force`);
       }
     }
   }
-  return faults;
+  return descriptions;
 }
--- a/tests/matrix/session.ts
+++ b/tests/matrix/eventQueue.ts
@@ -12,7 +12,7 @@
 export type Resume = (reply: Reply) => void;
 
 /** Queues events of one call until its procedure awaits them. */
-export class Session {
+export class EventQueue {
   private readonly _events: CallEvent[] = [];
   private _resume: Resume | undefined;
   private _round = 0;
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -28,8 +28,8 @@
 import type { Journal } from './journal.js';
 
 const kSlots = 1;
-const kAnswerBytes = 1_000_000;
-const kClaims = 1_000;
+const kMaxResponseBytes = 1_000_000;
+const kMaxClaims = 1_000;
 
 /** Options of a daemon of the matrix. */
 export interface DaemonOptions {
@@ -47,17 +47,17 @@
 /** A daemon of the matrix. */
 export class MatrixDaemon {
   readonly ledger = new RetryLedger();
-  readonly answers = new ResponseStore(kAnswerBytes);
+  readonly answers = new ResponseStore(kMaxResponseBytes);
   readonly settler = new KeySettler();
-  readonly index = new ClaimIndex(kClaims);
+  readonly index = new ClaimIndex(kMaxClaims);
   readonly fold = new ConfigFold();
-  readonly queuedCalls = new Map<string, (end: AdmissionResult) => void>();
+  readonly queuedCalls = new Map<string, (result: AdmissionResult) => void>();
   readonly running = new Map<string, () => void>();
   readonly onCrash = new Set<() => void>();
   readonly gate: Gate<GateCall>;
   readonly serveContext: ServeContext;
   readonly gateContext: GateContext;
-  readonly seen = new Set<string>();
+  readonly seenAttempts = new Set<string>();
   crashed = false;
   stopping = false;
   pausedUntil = 0;
@@ -84,11 +84,11 @@
       ledger: this.ledger,
       downstream: new RootFilter(() => 'goodput'),
       seenAttempts: {
-        add: (attempt) => !this.seen.has(attempt) && this.seen.add(attempt) === this.seen,
+        add: (attempt) => !this.seenAttempts.has(attempt) && this.seenAttempts.add(attempt) === this.seenAttempts,
       },
       logDecision: () => undefined,
     };
-    this.serveContext = this._makeServe(journal);
+    this.serveContext = this._makeServeContext(journal);
   }
 
   /** `daemon/incarnation`. */
@@ -106,19 +106,19 @@
   }
 
   /** Resumes a queued call with the gate's decision. */
-  admit(attempt: string, end: AdmissionResult): void {
-    this._admit(attempt, end);
+  admit(attempt: string, result: AdmissionResult): void {
+    this._admit(attempt, result);
   }
 
-  private _admit(attempt: string, end: AdmissionResult): void {
+  private _admit(attempt: string, result: AdmissionResult): void {
     const resume = this.queuedCalls.get(attempt);
     this.queuedCalls.delete(attempt);
-    resume?.(end);
+    resume?.(result);
   }
 
-  private _makeServe(journal: Journal): ServeContext {
+  private _makeServeContext(journal: Journal): ServeContext {
     const { id, candidates, newId, relay, rootOf } = this.options;
-    const ratio = new RetryTokenBucket(() => 1);
+    const retryTokens = new RetryTokenBucket(() => 1);
     return {
       daemon: { id, incarnation: this.incarnation, address: id },
       stopping: () => this.stopping,
@@ -129,7 +129,7 @@
       picker: new TargetPicker(id, 'one', seededRandom(1)),
       rootFilter: new RootFilter(() => 'goodput'),
       ledger: this.ledger,
-      retryRatio: () => ratio,
+      retryRatio: () => retryTokens,
       answers: this.answers,
       settler: this.settler,
       claimShard: () => ({ shard: 0, index: this.index, relay }),
@@ -144,6 +144,6 @@
 }
 
 /** Body of a response as text. */
-export function bodyText(answer: TargetResponse): string {
-  return Buffer.from(answer.body).toString();
+export function bodyText(response: TargetResponse): string {
+  return Buffer.from(response.body).toString();
 }
--- a/tests/matrix/matrixLog.ts
+++ b/tests/matrix/matrixLog.ts
@@ -70,22 +70,22 @@
       return;
     }
     const records = this.stream(kSnapshotStream);
-    const seen = fault === 'stale' ? records.slice(0, 1) : records;
-    seen.forEach((value) => daemon.fold.adopt(value, digest));
+    const visibleRecords = fault === 'stale' ? records.slice(0, 1) : records;
+    visibleRecords.forEach((value) => daemon.fold.adopt(value, digest));
     reply({ kind: 'read' });
   }
 
   /** Claims the key for a rival daemon first, and runs the rival's call. */
-  rivalClaims(record: ClaimRecord): void {
+  appendRivalClaim(record: ClaimRecord): void {
     const holder = this.stream(kClaimStream).some((batch) => (batch as ClaimRecord[]).some(({ key }) => key === record.key));
     if (record.released !== true && !holder) {
       this.stream(kClaimStream).push([{ ...record, nonce: 'rival', claimant: 'rival/1', address: 'rival' }]);
-      this.rivalRuns(record.key);
+      this.recordRivalRun(record.key);
     }
   }
 
   /** Records that a rival runs the call of a key. */
-  rivalRuns(key: string): void {
+  recordRivalRun(key: string): void {
     this._journal.recordRun({
       host: 'rival',
       request: 'rival',
@@ -99,7 +99,7 @@
   }
 
   /** Appends another operator's patch against the same version first. */
-  rivalPatch(record: PatchRecord): void {
+  appendRivalPatch(record: PatchRecord): void {
     this.stream(kConfigStream).push({ ...record, patchId: `rival-of-${record.patchId}`, author: 'rival', patch: { retryRatio: 0.5 } });
   }
 
--- a/tests/matrix/matrixPeers.ts
+++ b/tests/matrix/matrixPeers.ts
@@ -10,7 +10,7 @@
 import { kClaimStream } from './matrixLog.js';
 import type { MatrixDaemon } from './matrixDaemon.js';
 import type { MatrixWorld } from './matrixWorld.js';
-import type { Resume } from './session.js';
+import type { Resume } from './eventQueue.js';
 
 const kLostReplyMs = 20;
 const kWorkMs = 5;
@@ -36,7 +36,7 @@
       return;
     }
     if (fault === 'rival') {
-      this._world.log.rivalClaims(effect.record);
+      this._world.log.appendRivalClaim(effect.record);
     }
     const records = this._world.log.stream(kClaimStream);
     records.push([structuredClone(effect.record)]);
@@ -62,7 +62,7 @@
     const settle = (candidateBid: typeof bid): Reply =>
       root === undefined ? settler.settler.settleMinted(candidateBid) : settler.settler.settleDerived(root, candidateBid);
     if (fault === 'rival' && (settle({ ...bid, claimant: 'rival/1', address: 'rival' }) as { kind: string }).kind === 'granted') {
-      this._rivalRunsOnce(bid.key);
+      this._recordRivalRunOnce(bid.key);
     }
     const verdict = incarnation === settler.incarnation ? settle(bid) : ({ kind: 'unknown' } as const);
     if (fault === 'peer_crash') {
@@ -107,26 +107,26 @@
 
   /** Waits for the running call of a key, up to the timeout. */
   joinRunning(daemon: MatrixDaemon, effect: EffectOf<'joinRunning'>, resume: Resume, fault: Fault | undefined): void {
-    let open = true;
-    const end = (served: ServeResult | undefined): void => {
-      if (open) {
-        open = false;
+    let pending = true;
+    const finish = (served: ServeResult | undefined): void => {
+      if (pending) {
+        pending = false;
         resume(served);
       }
     };
     if (fault !== 'timeout') {
-      daemon.answers.wait(effect.key, end);
+      daemon.answers.wait(effect.key, finish);
     }
     this._world.time.after(effect.until - this._world.time.now, () => {
-      end(undefined);
+      finish(undefined);
     });
   }
 
   /** Records the rival's run once, because a repeated bid of the rival is granted again. */
-  private _rivalRunsOnce(key: string): void {
+  private _recordRivalRunOnce(key: string): void {
     if (!this._rivalRuns.has(key)) {
       this._rivalRuns.add(key);
-      this._world.log.rivalRuns(key);
+      this._world.log.recordRivalRun(key);
     }
   }
 }
--- a/tests/matrix/matrixWorld.ts
+++ b/tests/matrix/matrixWorld.ts
@@ -30,7 +30,7 @@
 import { digest, kClaimStream, MatrixLog } from './matrixLog.js';
 import { MatrixPeers } from './matrixPeers.js';
 import { onwardCall, type Request } from './request.js';
-import { type Resume, Session } from './session.js';
+import { type Resume, EventQueue } from './eventQueue.js';
 
 const kHopMs = 1;
 const kWorkMs = 5;
@@ -86,8 +86,8 @@
   }
 
   /** Sends a request; `then` receives its result, or undefined when its daemon crashed. */
-  send(at: string, req: Request, then: (served: ServeResult | undefined) => void = () => undefined): void {
-    const daemon = this.daemon(at);
+  send(daemonId: string, req: Request, then: (served: ServeResult | undefined) => void = () => undefined): void {
+    const daemon = this.daemon(daemonId);
     const id = `q${this._ids++}`;
     const call = this._rootCall(daemon, id, req);
     const { cls, key, body } = req;
@@ -114,7 +114,7 @@
   }
 
   /** Runs a procedure on a daemon. */
-  run<T>(daemon: MatrixDaemon, procedure: Procedure<T>, ended: (value: T) => void, session?: Session): void {
+  run<T>(daemon: MatrixDaemon, procedure: Procedure<T>, onDone: (value: T) => void, queue?: EventQueue): void {
     const resume: Resume = (reply) => {
       if (daemon.crashed) {
         return;
@@ -128,9 +128,9 @@
       const step = procedure.next(reply);
       this.journal.recordVersion(daemon.name, daemon.fold.version);
       if (step.done === true) {
-        ended(step.value);
+        onDone(step.value);
       } else {
-        this._takeStep(daemon, step.value, session, resume);
+        this._takeStep(daemon, step.value, queue, resume);
       }
     };
     resume(undefined);
@@ -182,7 +182,7 @@
     return daemon;
   }
 
-  private _serve(daemon: MatrixDaemon, call: Call, session: Session | undefined, finish: (served: ServeResult | undefined) => void): void {
+  private _serve(daemon: MatrixDaemon, call: Call, queue: EventQueue | undefined, finish: (served: ServeResult | undefined) => void): void {
     const lost = (): void => {
       finish(undefined);
     };
@@ -197,7 +197,7 @@
         daemon.inFlight--;
         finish(served);
       },
-      session ?? new Session(this.time),
+      queue ?? new EventQueue(this.time),
     );
   }
 
@@ -231,12 +231,12 @@
   }
 
   /** Performs the effect of a step, with the fault injected at this step, if any. */
-  private _takeStep(daemon: MatrixDaemon, effect: Effect, session: Session | undefined, resume: Resume): void {
+  private _takeStep(daemon: MatrixDaemon, effect: Effect, queue: EventQueue | undefined, resume: Resume): void {
     const number = this.steps.length;
     this.steps.push({ effect: effect.type, daemon: daemon.options.id });
     const injection = this._injections.find(({ step, fault }) => step === number && kFaults[effect.type].includes(fault));
     if (!injection) {
-      this._perform(daemon, effect, session, resume, undefined);
+      this._perform(daemon, effect, queue, resume, undefined);
       return;
     }
     this.injected.push(injection);
@@ -245,21 +245,21 @@
         daemon.crash();
         return;
       case 'crash_after':
-        this._perform(daemon, effect, session, () => undefined, undefined);
+        this._perform(daemon, effect, queue, () => undefined, undefined);
         this.time.after(kHopMs / 2, () => {
           daemon.crash();
         });
         return;
       case 'pause':
         daemon.pausedUntil = this.time.now + kPauseMs;
-        this._perform(daemon, effect, session, resume, undefined);
+        this._perform(daemon, effect, queue, resume, undefined);
         return;
       default:
-        this._perform(daemon, effect, session, resume, injection.fault);
+        this._perform(daemon, effect, queue, resume, injection.fault);
     }
   }
 
-  private _perform(daemon: MatrixDaemon, effect: Effect, session: Session | undefined, resume: Resume, fault: Fault | undefined): void {
+  private _perform(daemon: MatrixDaemon, effect: Effect, queue: EventQueue | undefined, resume: Resume, fault: Fault | undefined): void {
     const reply = (value: Reply, ms = kHopMs): void => {
       this.time.after(fault === 'late' ? ms + kLateMs : ms, () => {
         resume(value);
@@ -267,18 +267,18 @@
     };
     switch (effect.type) {
       case 'offer':
-        this._offer(effect, session, fault);
+        this._offer(effect, queue, fault);
         reply(undefined, 0);
         return;
       case 'awaitEvent':
-        this._awaitEvent(effect, session, resume, fault);
+        this._awaitEvent(effect, queue, resume, fault);
         return;
       case 'cancel':
         this._cancel(effect, reply, fault);
         return;
       case 'appendClaim':
         this.log.append(kClaimStream, [effect.record], reply, fault, () => {
-          this.log.rivalClaims(effect.record);
+          this.log.appendRivalClaim(effect.record);
         });
         return;
       case 'readClaims':
@@ -308,7 +308,7 @@
         return;
       case 'appendPatch':
         this.log.append(kConfigStream, effect.record, reply, fault, () => {
-          this.log.rivalPatch(effect.record);
+          this.log.appendRivalPatch(effect.record);
         });
         return;
       case 'readConfig':
@@ -346,24 +346,24 @@
     }
   }
 
-  private _offer(effect: EffectOf<'offer'>, session: Session | undefined, fault: Fault | undefined): void {
+  private _offer(effect: EffectOf<'offer'>, queue: EventQueue | undefined, fault: Fault | undefined): void {
     const { attempt, to, terms } = effect;
-    const end = (value: OfferResult, ms = kHopMs): void => {
+    const sendResult = (value: OfferResult, ms = kHopMs): void => {
       this.time.after(fault === 'late' ? ms + kLateMs : ms, () => {
-        session?.push({ kind: 'ended', attempt, result: value });
+        queue?.push({ kind: 'ended', attempt, result: value });
       });
     };
     const target = this.daemon(to.daemon);
     if (fault === 'refused' || target.crashed) {
-      end({ kind: 'lost', written: false });
+      sendResult({ kind: 'lost', written: false });
       return;
     }
     if (fault === 'lost_before') {
-      end({ kind: 'lost', written: kAdapter.lostMayHaveRun }, kLostReplyMs);
+      sendResult({ kind: 'lost', written: kAdapter.lostMayHaveRun }, kLostReplyMs);
       return;
     }
     const lost = (): void => {
-      end({ kind: 'lost', written: kAdapter.lostMayHaveRun });
+      sendResult({ kind: 'lost', written: kAdapter.lostMayHaveRun });
     };
     const arrive = (report: (value: OfferResult) => void): void => {
       target.onCrash.add(lost);
@@ -373,7 +373,7 @@
       });
     };
     this.time.after(kHopMs, () => {
-      arrive(fault === 'lost_after' ? lost : end);
+      arrive(fault === 'lost_after' ? lost : sendResult);
       if (fault === 'duplicate') {
         arrive(() => undefined);
       }
@@ -387,7 +387,7 @@
 
   /** Gate context that records refusals for overload in the journal. */
   private _gateContext(target: MatrixDaemon, terms: OfferTerms): MatrixDaemon['gateContext'] {
-    const note = (reason: string): void => {
+    const recordShed = (reason: string): void => {
       if (reason === 'overloaded') {
         this.journal.shed.push({ host: target.options.id, rank: rankOf(terms), at: this.time.now, order: this.journal.nextOrder() });
       }
@@ -395,14 +395,14 @@
     return {
       ...target.gateContext,
       logDecision: ({ reason }) => {
-        note(reason);
+        recordShed(reason);
       },
     };
   }
 
-  private _awaitEvent(effect: EffectOf<'awaitEvent'>, session: Session | undefined, resume: Resume, fault: Fault | undefined): void {
+  private _awaitEvent(effect: EffectOf<'awaitEvent'>, queue: EventQueue | undefined, resume: Resume, fault: Fault | undefined): void {
     if (fault === 'caller_gone') {
-      session?.push({ kind: 'caller_gone' });
+      queue?.push({ kind: 'caller_gone' });
     }
     if (fault === 'timeout') {
       this.time.after(effect.until - this.time.now, () => {
@@ -410,7 +410,7 @@
       });
       return;
     }
-    session?.await(effect.until, resume);
+    queue?.await(effect.until, resume);
   }
 
   private _cancel(effect: EffectOf<'cancel'>, reply: (value: Reply, ms?: number) => void, fault: Fault | undefined): void {
@@ -465,10 +465,10 @@
       return;
     }
     this._startRun(daemon, terms, payload.body);
-    let open = true;
-    const end = (reply: Reply): void => {
-      if (open) {
-        open = false;
+    let pending = true;
+    const finish = (reply: Reply): void => {
+      if (pending) {
+        pending = false;
         daemon.running.delete(attempt);
         this.time.after(fault === 'late' ? kLateMs : kHopMs, () => {
           resume(reply);
@@ -476,29 +476,29 @@
       }
     };
     daemon.running.set(attempt, () => {
-      end({ kind: 'cancelled' });
+      finish({ kind: 'cancelled' });
     });
     this.time.after(deadline - this.time.now, () => {
-      end({ kind: 'timeout' });
+      finish({ kind: 'timeout' });
     });
     this._work(daemon, terms, (ok) => {
-      this._endRun(fault, ok, payload.body, end);
+      this._finishRun(fault, ok, payload.body, finish);
     });
   }
 
-  private _endRun(fault: Fault | undefined, ok: boolean, body: Uint8Array, end: (reply: Reply) => void): void {
+  private _finishRun(fault: Fault | undefined, ok: boolean, body: Uint8Array, finish: (reply: Reply) => void): void {
     switch (fault) {
       case 'lost_after':
-        end({ kind: 'lost', written: true });
+        finish({ kind: 'lost', written: true });
         return;
       case 'truncated':
-        end({ kind: 'truncated' });
+        finish({ kind: 'truncated' });
         return;
       case 'timeout':
         return;
       default: {
         const status = ok && fault !== 'target_fails' ? 200 : 500;
-        end({ kind: 'answered', answer: { status, headers: {}, body: Buffer.from(`answer to ${Buffer.from(body).toString()}`) } });
+        finish({ kind: 'answered', answer: { status, headers: {}, body: Buffer.from(`answer to ${Buffer.from(body).toString()}`) } });
       }
     }
   }
@@ -514,10 +514,10 @@
   private _work(daemon: MatrixDaemon, terms: OfferTerms, done: (ok: boolean) => void): void {
     const req = this._requests.get(terms.request);
     const onward = req?.onward ?? [];
-    let open = onward.length;
+    let pendingCalls = onward.length;
     let ok = req?.fails !== true;
     this.time.after(kWorkMs, () => {
-      if (open === 0 || daemon.crashed) {
+      if (pendingCalls === 0 || daemon.crashed) {
         done(ok && !daemon.crashed);
         return;
       }
@@ -526,8 +526,8 @@
         this._requests.set(id, next);
         this._serve(daemon, onwardCall(id, next, terms, this.time.now), undefined, (served) => {
           ok &&= served?.kind === 'answer' && served.answer.status === 200;
-          open--;
-          if (open === 0) {
+          pendingCalls--;
+          if (pendingCalls === 0) {
             done(ok);
           }
         });
--- a/tests/matrix/scenarios.ts
+++ b/tests/matrix/scenarios.ts
@@ -26,7 +26,7 @@
 /** Shorter than the target's processing time, so that a competing attempt starts. */
 const kCompetingTimeoutMs = 3;
 
-const kBase: NamedClass = {
+const kReadClass: NamedClass = {
   name: 'read',
   service: 'beta',
   methods: [],
@@ -36,13 +36,13 @@
   deadlineMs: 1_000,
   retries: 2,
 };
-const kHoldClass: NamedClass = { ...kBase, name: 'hold', idempotent: false, retries: 0 };
+const kHoldClass: NamedClass = { ...kReadClass, name: 'hold', idempotent: false, retries: 0 };
 const kHold: Request = { cls: kHoldClass, body: 'hold', key: 'key-1' };
-const kRead: Request = { cls: kBase, body: 'read' };
+const kRead: Request = { cls: kReadClass, body: 'read' };
 
 /** Sends a request to each of the daemons in turn, with a delay between the tries. */
-function sendAndRepeat(world: MatrixWorld, places: string[], req: Request): void {
-  const [at, ...others] = places;
+function sendAndRepeat(world: MatrixWorld, daemonIds: string[], req: Request): void {
+  const [at, ...others] = daemonIds;
   if (at === undefined) {
     return;
   }
@@ -59,14 +59,18 @@
 
 /** Submits a patch, and retries with the same id while the result is unavailable or unsettled. */
 function submit(world: MatrixWorld, daemon: MatrixDaemon, record: PatchRecord, tries = 3): void {
-  world.run(daemon, submitPatch(record, daemon.fold), (end) => {
-    if ((end.kind === 'unsettled' || end.kind === 'unavailable') && tries > 1) {
+  world.run(daemon, submitPatch(record, daemon.fold), (result) => {
+    if ((result.kind === 'unsettled' || result.kind === 'unavailable') && tries > 1) {
       world.time.after(kRetryDelayMs, () => {
         submit(world, daemon, record, tries - 1);
       });
       return;
     }
-    world.journal.submitted.push({ patchId: record.patchId, kind: end.kind, version: end.kind === 'accepted' ? end.version : undefined });
+    world.journal.submitted.push({
+      patchId: record.patchId,
+      kind: result.kind,
+      version: result.kind === 'accepted' ? result.version : undefined,
+    });
   });
 }
 
@@ -99,7 +103,7 @@
     name: 'read with a competing attempt',
     services: kServices,
     play: (world) => {
-      sendAndRepeat(world, ['a'], { ...kRead, cls: { ...kBase, attemptTimeoutMs: kCompetingTimeoutMs } });
+      sendAndRepeat(world, ['a'], { ...kRead, cls: { ...kReadClass, attemptTimeoutMs: kCompetingTimeoutMs } });
     },
   },
   {
@@ -152,15 +156,15 @@
     name: 'chain of reads',
     services: kServices,
     play: (world) => {
-      sendAndRepeat(world, ['b'], { cls: { ...kBase, name: 'outer', service: 'alpha' }, body: 'outer', onward: [kRead] });
+      sendAndRepeat(world, ['b'], { cls: { ...kReadClass, name: 'outer', service: 'alpha' }, body: 'outer', onward: [kRead] });
     },
   },
   {
     name: 'fan-out of failing reads',
     services: kServices,
     play: (world) => {
-      const failing = ['one', 'two'].map((body) => ({ cls: kBase, body, fails: true }));
-      sendAndRepeat(world, ['b'], { cls: { ...kBase, name: 'outer', service: 'alpha' }, body: 'outer', onward: failing });
+      const failing = ['one', 'two'].map((body) => ({ cls: kReadClass, body, fails: true }));
+      sendAndRepeat(world, ['b'], { cls: { ...kReadClass, name: 'outer', service: 'alpha' }, body: 'outer', onward: failing });
     },
   },
   {
@@ -168,7 +172,7 @@
     services: { alpha: ['a', 'd'], beta: ['b', 'c'] },
     play: (world) => {
       sendAndRepeat(world, ['b'], {
-        cls: { ...kBase, name: 'outer', service: 'alpha' },
+        cls: { ...kReadClass, name: 'outer', service: 'alpha' },
         body: 'outer',
         onward: [{ cls: kHoldClass, body: 'inner' }],
       });
