--- a/bench/policy/baselinePolicies.ts
+++ b/bench/policy/baselinePolicies.ts
@@ -159,30 +159,30 @@
 
   /** Starts a call when a slot is free, queues it otherwise, and calls `onRefused` when the queue is full. */
   enter(start: (release: () => void) => Cancel, onRefused: () => void): Cancel {
-    const waiting: GateEntry = { start, cancel: undefined, closed: false };
+    const entry: GateEntry = { start, cancel: undefined, closed: false };
     if (this._running < this._slots) {
-      this._start(waiting);
+      this._start(entry);
     } else if (this._queue.length < this._slots * kQueuePerSlot) {
-      this._queue.push(waiting);
+      this._queue.push(entry);
     } else {
       onRefused();
     }
     return () => {
-      if (!waiting.closed) {
-        waiting.closed = true;
-        if (waiting.cancel) {
-          waiting.cancel();
+      if (!entry.closed) {
+        entry.closed = true;
+        if (entry.cancel) {
+          entry.cancel();
           this._release();
         }
       }
     };
   }
 
-  private _start(waiting: GateEntry): void {
+  private _start(entry: GateEntry): void {
     this._running++;
-    waiting.cancel = waiting.start(() => {
-      if (!waiting.closed) {
-        waiting.closed = true;
+    entry.cancel = entry.start(() => {
+      if (!entry.closed) {
+        entry.closed = true;
         this._release();
       }
     });
@@ -234,9 +234,9 @@
         onStarted: () => {
           world.recordStart(call.root);
         },
-        onDone: (outcome) => {
+        onDone: (result) => {
           world.time.schedule(delayMs, () => {
-            finish(outcome === 'ok');
+            finish(result === 'ok');
           });
         },
       });
--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -54,16 +54,16 @@
   host: Host;
   gate: Gate<GateCall>;
   ledger: RetryLedger;
-  serve: ServeContext;
+  serveContext: ServeContext;
   gateContext: GateContext;
-  waiting: Map<string, (result: AdmissionResult) => void>;
+  queuedCalls: Map<string, (result: AdmissionResult) => void>;
   /** Functions that cancel calls running at the target, by attempt. */
   running: Map<string, Cancel>;
   unreachable: Set<string>;
 }
 
 /** Queues the events of one call until its procedure awaits them. */
-class CallEventQueue {
+class EventQueue {
   private readonly _events: CallEvent[] = [];
   private _resume: ((event: CallEvent) => void) | undefined;
   private _timer: Scheduled | undefined;
@@ -115,13 +115,13 @@
   }
 
   call(from: Host, chainCall: ChainCall, parent: string | undefined, done: (result: CallResult) => void): Cancel {
-    const eventQueue = new CallEventQueue(this._world);
+    const eventQueue = new EventQueue(this._world);
     const call = this._makeCall(chainCall, parent);
     this._chainCalls.set(call.id, chainCall);
     const daemon = this._daemon(from);
     let pending = true;
     this._world.counters.firstOffers++;
-    this._runProcedure(serveCall(call, daemon.serve), daemon, eventQueue, (served) => {
+    this._runProcedure(serveCall(call, daemon.serveContext), daemon, eventQueue, (served) => {
       this._chainCalls.delete(call.id);
       if (pending) {
         pending = false;
@@ -178,12 +178,7 @@
     }
   }
 
-  private _runProcedure<T>(
-    procedure: Procedure<T>,
-    daemon: Daemon,
-    eventQueue: CallEventQueue | undefined,
-    onDone: (value: T) => void,
-  ): void {
+  private _runProcedure<T>(procedure: Procedure<T>, daemon: Daemon, eventQueue: EventQueue | undefined, onDone: (value: T) => void): void {
     const resume = (reply: Reply): void => {
       const step = procedure.next(reply);
       if (step.done === true) {
@@ -195,7 +190,7 @@
     resume(undefined);
   }
 
-  private _performEffect(effect: Effect, daemon: Daemon, eventQueue: CallEventQueue | undefined, resume: (reply: Reply) => void): void {
+  private _performEffect(effect: Effect, daemon: Daemon, eventQueue: EventQueue | undefined, resume: (reply: Reply) => void): void {
     switch (effect.type) {
       case 'offer':
         this._offer(daemon, effect.attempt, effect.to, effect.terms, eventQueue);
@@ -208,7 +203,7 @@
         this._cancel(daemon, effect.attempt, effect.to, resume);
         return;
       case 'awaitAdmission':
-        daemon.waiting.set(effect.attempt, resume);
+        daemon.queuedCalls.set(effect.attempt, resume);
         return;
       case 'forward':
         this._forward(daemon, effect.attempt, effect.deadline, resume);
@@ -218,7 +213,7 @@
     }
   }
 
-  private _offer(from: Daemon, attempt: string, to: Candidate, terms: OfferTerms, eventQueue: CallEventQueue | undefined): void {
+  private _offer(from: Daemon, attempt: string, to: Candidate, terms: OfferTerms, eventQueue: EventQueue | undefined): void {
     const call = this._chainCalls.get(terms.request);
     const host = this._world.hostNamed(to.target);
     const delayMs = host && this._world.delayMs(from.host, host);
@@ -258,8 +253,8 @@
       const daemon = this._daemon(host);
       const beforeStart = daemon.gate.cancel(attempt);
       if (beforeStart) {
-        const waiting = daemon.waiting.get(attempt);
-        daemon.waiting.delete(attempt);
+        const waiting = daemon.queuedCalls.get(attempt);
+        daemon.queuedCalls.delete(attempt);
         waiting?.({ kind: 'cancelled' });
       }
       daemon.running.get(attempt)?.();
@@ -291,11 +286,11 @@
       onStarted: () => {
         this._world.recordStart(call.root);
       },
-      onDone: (outcome) => {
+      onDone: (result) => {
         finish(
-          outcome === 'dead'
+          result === 'dead'
             ? { kind: 'lost', written: true }
-            : { kind: 'answered', answer: outcome === 'ok' ? kOkResponse : kErrorResponse },
+            : { kind: 'answered', answer: result === 'ok' ? kOkResponse : kErrorResponse },
         );
       },
     });
@@ -312,10 +307,10 @@
   }
 
   private _makeDaemon(host: Host): Daemon {
-    const waiting = new Map<string, (result: AdmissionResult) => void>();
+    const queuedCalls = new Map<string, (result: AdmissionResult) => void>();
     const admit = (id: string, result: AdmissionResult): void => {
-      const resume = waiting.get(id);
-      waiting.delete(id);
+      const resume = queuedCalls.get(id);
+      queuedCalls.delete(id);
       resume?.(result);
     };
     const events = {
@@ -339,11 +334,20 @@
       seenAttempts: { add: () => true },
       logDecision: () => undefined,
     };
-    return { host, gate, ledger, waiting, running: new Map(), unreachable, gateContext, serve: this._makeServe(host, ledger, unreachable) };
+    return {
+      host,
+      gate,
+      ledger,
+      queuedCalls,
+      running: new Map(),
+      unreachable,
+      gateContext,
+      serveContext: this._makeServeContext(host, ledger, unreachable),
+    };
   }
 
-  private _makeServe(host: Host, ledger: RetryLedger, unreachable: Set<string>): ServeContext {
-    const ratios = new Map<string, RetryTokenBucket>();
+  private _makeServeContext(host: Host, ledger: RetryLedger, unreachable: Set<string>): ServeContext {
+    const buckets = new Map<string, RetryTokenBucket>();
     const candidates = new Map<string, Candidate[]>();
     for (const plan of this._world.deployment.services) {
       candidates.set(
@@ -373,9 +377,9 @@
       rootFilter: new RootFilter(() => this._favour),
       ledger,
       retryRatio: (service) => {
-        const ratio = ratios.get(service) ?? new RetryTokenBucket(() => kRetryRatio);
-        ratios.set(service, ratio);
-        return ratio;
+        const bucket = buckets.get(service) ?? new RetryTokenBucket(() => kRetryRatio);
+        buckets.set(service, bucket);
+        return bucket;
       },
       answers: new ResponseStore(1),
       settler: new KeySettler(),
--- a/bench/policy/main.ts
+++ b/bench/policy/main.ts
@@ -16,7 +16,7 @@
 
 const kSeed = 20_261_202;
 /** Time limit of one run; a policy whose retries grow without bound is reported as not finished. */
-const kJobLimitMs = 150_000;
+const kJobTimeoutMs = 150_000;
 
 interface Job {
   index: number;
@@ -45,7 +45,7 @@
     const timer = setTimeout(() => {
       child.kill('SIGKILL');
       resolve(undefined);
-    }, kJobLimitMs);
+    }, kJobTimeoutMs);
     child.once('exit', (code) => {
       clearTimeout(timer);
       if (code !== null && code !== 0) {
--- a/bench/policy/runScenario.ts
+++ b/bench/policy/runScenario.ts
@@ -36,9 +36,9 @@
   offered: number;
 }
 
-const kCallerRetries = 3;
-const kCallerBackoffMs = 100;
-const kCallerJitterMs = 200;
+const kClientRetries = 3;
+const kClientBackoffMs = 100;
+const kClientJitterMs = 200;
 const kWindowMs = 250;
 const kRecoveredRatio = 0.99;
 
@@ -138,8 +138,8 @@
       return;
     }
     this.failedTries.add(root);
-    if (tries < kCallerRetries) {
-      time.schedule(kCallerBackoffMs + random() * kCallerJitterMs, () => {
+    if (tries < kClientRetries) {
+      time.schedule(kClientBackoffMs + random() * kClientJitterMs, () => {
         this._try(req, tries + 1);
       });
     }
