--- a/examples/demo.ts
+++ b/examples/demo.ts
@@ -96,7 +96,7 @@
 
   private async _placeHolds(): Promise<void> {
     print(`Placing ${kHoldRequests} outage holds, each sent to three daemons concurrently.`);
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       Array.from({ length: kHoldRequests }, (_, i) =>
         Promise.all(
           [0, 1, 2].map((daemon) => this._call('POST', '/defects/holds', `hold-${i}`, daemon, { 'idempotency-key': `hold-${i}` })),
@@ -104,7 +104,7 @@
       ),
     );
     const runs = await Promise.all(Array.from({ length: kHoldRequests }, (_, i) => this._runsAtDefects(`hold-${i}`)));
-    const answered = answers.flat().filter(({ status }) => status === 200).length;
+    const answered = responses.flat().filter(({ status }) => status === 200).length;
     this._recordCheck(
       'a non-idempotent hold runs at most once',
       runs.every((count) => count === 1),
@@ -151,9 +151,9 @@
     print('Draining one target of hazards.');
     const drained = await this._fleet.runCli(['drain', 'hazards-1-target', '--wait']);
     const before = Object.values(await this._fleet.runsOf('hazards-1')).reduce((a, b) => a + b, 0);
-    const answers = await Promise.all(Array.from({ length: 60 }, (_, i) => this._call('GET', `/hazards/lookup/${i}`, 'drain', i % 9)));
+    const responses = await Promise.all(Array.from({ length: 60 }, (_, i) => this._call('GET', `/hazards/lookup/${i}`, 'drain', i % 9)));
     const after = Object.values(await this._fleet.runsOf('hazards-1')).reduce((a, b) => a + b, 0);
-    const good = answers.filter(({ status }) => status === 200).length;
+    const good = responses.filter(({ status }) => status === 200).length;
     this._recordCheck(
       'a draining target receives no new calls',
       drained.code === 0 && after === before && good === 60,
@@ -169,8 +169,8 @@
     );
     const host = this._fleet.host('archive-1');
     host.daemon.kill('SIGTERM');
-    const [code, answers] = await Promise.all([exitOf(host.daemon), Promise.all(pendingCalls)]);
-    const good = answers.filter(({ status }) => status === 200).length;
+    const [code, responses] = await Promise.all([exitOf(host.daemon), Promise.all(pendingCalls)]);
+    const good = responses.filter(({ status }) => status === 200).length;
     this._recordCheck(
       'calls in flight complete during a planned stop',
       code === 0 && good === kStopCalls,
