--- a/bench/bodies/main.ts
+++ b/bench/bodies/main.ts
@@ -20,7 +20,7 @@
 const kSeed = 5;
 const kMaxBodyBytes = 1_048_576;
 const kChunks = 4;
-/** One call in this many has a body of up to the largest size; the others are small. */
+/** One call in this many has a body of up to `kMaxBodyBytes`; the others have small bodies. */
 const kLargeBodyInterval = 100;
 
 interface Counts {
--- a/bench/control/main.ts
+++ b/bench/control/main.ts
@@ -5,7 +5,8 @@
 
 /**
  * Measures the control overhead of a daemon (CPU time, memory, control bytes, log appends and reads) by the number of members, and
- * by the rates of configuration changes, claims and calls. Runs real daemon processes on the loopback, in seven zones and two regions.
+ * by the rates of configuration changes, claims and calls. Runs real daemon processes on the loopback interface, in seven zones and
+ * two regions.
  */
 
 import { readFileSync } from 'node:fs';
--- a/bench/policy/layerPolicy.ts
+++ b/bench/policy/layerPolicy.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The layer as a policy: the procedures and objects of the core, with effects performed in virtual time. */
+/** The overload control layer as a policy: runs the procedures of the core and performs their effects in virtual time. */
 
 import {
   ResponseStore,
@@ -432,7 +432,7 @@
   private _daemon(host: Host): Daemon {
     const daemon = this._daemons[host.index];
     if (!daemon) {
-      throw new Error(`expected a daemon on ${host.name}`);
+      throw new Error(`expected a daemon on ${host.name}, got none`);
     }
     return daemon;
   }
--- a/bench/policy/main.ts
+++ b/bench/policy/main.ts
@@ -15,7 +15,7 @@
 import { kScenarios } from './scenarios.js';
 
 const kSeed = 20_261_202;
-/** Time limit of one run; a policy whose retries grow without bound is reported as not finished. */
+/** Time limit of one run; a run that exceeds it is reported as not finished. */
 const kJobTimeoutMs = 150_000;
 
 interface Job {
