--- a/examples/demo.ts
+++ b/examples/demo.ts
@@ -4,8 +4,9 @@
  */
 
 /**
- * Runs a small deployment of real processes on the loopback: a configuration change, calls through a chain of three services, a log
- * outage, a surge, a drain and a planned stop. Checks the guarantees of the layer, and exits with 0 only if all checks pass.
+ * Runs a small deployment of real processes on the loopback interface: a configuration change, calls through a chain of three
+ * services, a log outage, a surge, a drain and a planned stop. Checks the guarantees of the layer, and exits with 0 only if all
+ * checks pass.
  */
 
 import { readFileSync } from 'node:fs';
