--- a/tests/matrix/checkers.ts
+++ b/tests/matrix/checkers.ts
@@ -16,7 +16,7 @@
   folds: Map<string, ConfigFold>;
 }
 
-/** Descriptions of all violated guarantees. */
+/** Returns a description of each violation. */
 export function violations({ journal, folds }: FinalState): string[] {
   return [
     ...retriesBounded(journal),
@@ -33,7 +33,7 @@
 function retriesBounded({ tries, retries }: Journal): string[] {
   return tries
     .filter(({ request, allowance }) => (retries.get(request) ?? 0) > allowance)
-    .map(({ request, allowance }) => `1 retries bounded: ${request} spent ${retries.get(request) ?? 0} of ${allowance}`);
+    .map(({ request, allowance }) => `1 retries bounded: ${request} used ${retries.get(request) ?? 0} retries of ${allowance}`);
 }
 
 function importantShedLast({ shed, started }: Journal): string[] {
@@ -62,7 +62,7 @@
       (run) =>
         run.request === request || (keyInScope !== undefined && run.onceKey === keyInScope && isSameOrEarlier(tries, request, run.request)),
     );
-    return ran ? [`4 not run: ${request} was told ${served.error}, not_run, and ran`] : [];
+    return ran ? [`4 not run: ${request} received ${served.error} with outcome not_run, but ran`] : [];
   });
 }
 
@@ -89,7 +89,7 @@
 function plannedStopsInterruptNothing({ stops, runs }: Journal): string[] {
   return stops.flatMap(({ host, cut }) => {
     const interrupted = runs.filter((run) => run.host === host && run.cut);
-    return cut > 0 || interrupted.length > 0 ? [`7 planned stop: ${host} cut ${cut + interrupted.length} calls`] : [];
+    return cut > 0 || interrupted.length > 0 ? [`7 planned stop: ${host} interrupted ${cut + interrupted.length} calls`] : [];
   });
 }
 
@@ -97,7 +97,7 @@
   const descriptions: string[] = [];
   for (const [daemon, heldVersions] of versions) {
     if (heldVersions.some((version, i) => i > 0 && version < (heldVersions[i - 1] ?? 0))) {
-      descriptions.push(`8 configuration: ${daemon} went back: ${heldVersions.join(' ')}`);
+      descriptions.push(`8 configuration: ${daemon} returned to an earlier version: ${heldVersions.join(' ')}`);
     }
   }
   const texts = new Set([...folds.values()].map((fold) => JSON.stringify([fold.version, fold.written])));
@@ -109,11 +109,11 @@
       const verdict = fold.verdict(patchId);
       if (kind === 'accepted' && (verdict?.kind !== 'accepted' || verdict.version !== version)) {
         descriptions.push(
-          `8 configuration: ${patchId} was told accepted as ${version ?? 0}, and ${daemon} holds ${JSON.stringify(verdict)}`,
+          `8 configuration: ${patchId} was reported as accepted as version ${version ?? 0}, but ${daemon} has ${JSON.stringify(verdict)}`,
         );
       }
       if ((kind === 'conflict' || kind === 'invalid') && verdict?.kind === 'accepted') {
-        descriptions.push(`8 configuration: ${patchId} was told ${kind}, and is in force`);
+        descriptions.push(`8 configuration: ${patchId} was reported as ${kind}, but ${daemon} accepted it`);
       }
     }
   }
--- a/tests/matrix/faults.ts
+++ b/tests/matrix/faults.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Faults by effect. An effect without a row does not compile; a step without a cell fails the run. */
+/** Faults by effect. The compiler requires an entry for every effect, and the tests require a cell for every fault of an effect. */
 
 import type { EffectName } from '@gentiandrum/core';
 
@@ -20,7 +20,7 @@
   | 'late'
   /** Another claimant or operator acted first. */
   | 'rival'
-  /** It read data older than the known state. */
+  /** It returned data older than the known state. */
   | 'stale'
   /** The performing daemon was paused beyond every deadline. */
   | 'pause'
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** One daemon of the matrix, made of the core's real objects. */
+/** One daemon of the matrix, assembled from objects of the core. */
 
 import {
   type AdmissionResult,
--- a/tests/matrix/matrixLog.ts
+++ b/tests/matrix/matrixLog.ts
@@ -12,11 +12,11 @@
 import type { Journal } from './journal.js';
 import type { MatrixDaemon } from './matrixDaemon.js';
 
-/** Stream of the only shard. */
+/** Claim stream of the only shard. */
 export const kClaimStream = claimStreamName(0);
 const kLostReplyMs = 20;
 
-/** The log. */
+/** Model of the log, with the records of each stream. */
 export class MatrixLog {
   readonly streams = new Map<string, unknown[]>();
 
@@ -46,7 +46,7 @@
     reply(fault === 'lost_after' ? { kind: 'lost' } : { kind: 'appended', offset });
   }
 
-  /** Reads a stream by `read`, unless the log is unavailable. */
+  /** Calls `read` and reports success, unless the log is unavailable. */
   read(reply: (value: Reply) => void, fault: Fault | undefined, read: () => void): void {
     if (fault === 'refused') {
       reply({ kind: 'unavailable' });
@@ -63,7 +63,7 @@
     });
   }
 
-  /** Reads the snapshots into a daemon's configuration. */
+  /** Offers the snapshots to a daemon's configuration for adoption; only the first one if the fault is `stale`. */
   readSnapshots(daemon: MatrixDaemon, reply: (value: Reply) => void, fault: Fault | undefined): void {
     if (fault === 'refused') {
       reply({ kind: 'unavailable' });
@@ -75,7 +75,7 @@
     reply({ kind: 'read' });
   }
 
-  /** Claims the key for a rival daemon first, and runs the rival's call. */
+  /** Appends a claim of a rival daemon and records the rival's run, unless the key has a claim or `record` is a release. */
   appendRivalClaim(record: ClaimRecord): void {
     const holder = this.stream(kClaimStream).some((batch) => (batch as ClaimRecord[]).some(({ key }) => key === record.key));
     if (record.released !== true && !holder) {
@@ -98,7 +98,7 @@
     });
   }
 
-  /** Appends another operator's patch against the same version first. */
+  /** Appends another operator's patch against the same version. */
   appendRivalPatch(record: PatchRecord): void {
     this.stream(kConfigStream).push({ ...record, patchId: `rival-of-${record.patchId}`, author: 'rival', patch: { retryRatio: 0.5 } });
   }
@@ -111,7 +111,7 @@
   }
 }
 
-/** Collision-free digest for the fold. */
+/** Collision-free digest of snapshots. */
 export function digest(text: string): string {
   return `${text.length}:${text}`;
 }
--- a/tests/matrix/matrixPeers.ts
+++ b/tests/matrix/matrixPeers.ts
@@ -18,7 +18,7 @@
 type EffectOf<K extends Effect['type']> = Extract<Effect, { type: K }>;
 type ReplyLater = (value: Reply, ms?: number) => void;
 
-/** Answers requests about keys, with injected faults. */
+/** Handles requests about keys, with injected faults. */
 export class MatrixPeers {
   private readonly _rivalRuns = new Set<string>();
 
--- a/tests/matrix/matrixWorld.ts
+++ b/tests/matrix/matrixWorld.ts
@@ -338,7 +338,7 @@
         this._awaitIdle(daemon, effect, resume, fault);
         return;
       case 'awaitSenders':
-        // Senders learn of a leave at once in this model.
+        // In this model, senders learn at once that a daemon shuts down.
         this.time.after(fault === 'timeout' ? effect.until - this.time.now : 0, () => {
           resume({ senders: fault === 'timeout' ? 1 : 0 });
         });
--- a/tests/matrix/request.ts
+++ b/tests/matrix/request.ts
@@ -17,7 +17,7 @@
   importance?: number;
   /** Onward calls of its target, made concurrently. */
   onward?: Request[];
-  /** Its targets always fail. */
+  /** Whether its target always fails. */
   fails?: boolean;
 }
 
--- a/tests/matrix/runMatrix.ts
+++ b/tests/matrix/runMatrix.ts
@@ -11,7 +11,9 @@
 
 /** Result of a run of the matrix. */
 export interface MatrixReport {
+  /** Number of runs with a single fault. */
   cells: number;
+  /** Number of runs with two faults. */
   pairs: number;
   violations: string[];
   /** Number of cells by `effect/fault`. */
--- a/tests/matrix/scenarios.ts
+++ b/tests/matrix/scenarios.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Scenarios of the matrix, which run each procedure of the core alone and concurrently with others. */
+/** Scenarios of the matrix, which run procedures of the core alone and concurrently with others. */
 
 import { coldStart, type NamedClass, plannedStop, refreshSnapshot, submitPatch } from '@gentiandrum/core';
 import { kConfigStream, type PatchRecord } from '@gentiandrum/protocol';
@@ -40,7 +40,7 @@
 const kHold: Request = { cls: kHoldClass, body: 'hold', key: 'key-1' };
 const kRead: Request = { cls: kReadClass, body: 'read' };
 
-/** Sends a request to each of the daemons in turn, with a delay between the tries. */
+/** Sends a request to each of the daemons in turn, the next one after the previous result and a delay. */
 function sendAndRepeat(world: MatrixWorld, daemonIds: string[], req: Request): void {
   const [at, ...others] = daemonIds;
   if (at === undefined) {
@@ -224,7 +224,7 @@
   },
 ];
 
-/** A completed cell. */
+/** A completed run of a scenario with given faults. */
 export interface Cell {
   world: MatrixWorld;
   folds: ReturnType<MatrixWorld['settle']>;
