--- a/tests/matrix/checkers.ts
+++ b/tests/matrix/checkers.ts
@@ -113,7 +113,7 @@
         );
       }
       if ((kind === 'conflict' || kind === 'invalid') && verdict?.kind === 'accepted') {
-        descriptions.push(`8 configuration: ${patchId} was reported as ${kind}, but ${daemon} accepted it`);
+        descriptions.push(`8 configuration: ${patchId} was reported as ${kind}, but was accepted`);
       }
     }
   }
