--- a/tests/matrix/checkers.ts
+++ b/tests/matrix/checkers.ts
@@ -16,13 +16,13 @@
   folds: Map<string, ConfigFold>;
 }
 
-/** Descriptions of all violated guarantees. */
+/** Returns a description of each violation. */
 export function violations({ journal, folds }: FinalState): string[] {
   return [
     ...retriesBounded(journal),
     ...importantShedLast(journal),
     ...completeResponses(journal),
-    ...notRunIsTrue(journal),
+    ...notRunIsCorrect(journal),
     ...atMostOnce(journal),
     ...closedGateStartsNothing(journal),
     ...plannedStopsInterruptNothing(journal),
@@ -33,7 +33,7 @@
 function retriesBounded({ tries, retries }: Journal): string[] {
   return tries
     .filter(({ request, allowance }) => (retries.get(request) ?? 0) > allowance)
-    .map(({ request, allowance }) => `1 retries bounded: ${request} spent ${retries.get(request) ?? 0} of ${allowance}`);
+    .map(({ request, allowance }) => `1 retries bounded: ${request} used ${retries.get(request) ?? 0} retries of ${allowance}`);
 }
 
 function importantShedLast({ shed, started }: Journal): string[] {
@@ -52,7 +52,7 @@
   );
 }
 
-function notRunIsTrue({ tries, runs }: Journal): string[] {
+function notRunIsCorrect({ tries, runs }: Journal): string[] {
   return tries.flatMap(({ request, served, key }) => {
     if (served?.kind !== 'error' || served.outcome !== 'not_run') {
       return [];
@@ -62,7 +62,7 @@
       (run) =>
         run.request === request || (keyInScope !== undefined && run.onceKey === keyInScope && isSameOrEarlier(tries, request, run.request)),
     );
-    return ran ? [`4 not run: ${request} was told ${served.error}, not_run, and ran`] : [];
+    return ran ? [`4 not run: ${request} received ${served.error} with outcome not_run, but ran`] : [];
   });
 }
 
@@ -89,31 +89,33 @@
 function plannedStopsInterruptNothing({ stops, runs }: Journal): string[] {
   return stops.flatMap(({ host, cut }) => {
     const interrupted = runs.filter((run) => run.host === host && run.cut);
-    return cut > 0 || interrupted.length > 0 ? [`7 planned stop: ${host} cut ${cut + interrupted.length} calls`] : [];
+    return cut > 0 || interrupted.length > 0 ? [`7 planned stop: ${host} interrupted ${cut + interrupted.length} calls`] : [];
   });
 }
 
 function configurationIsConsistent({ versions, submitted }: Journal, folds: Map<string, ConfigFold>): string[] {
-  const faults: string[] = [];
+  const descriptions: string[] = [];
   for (const [daemon, heldVersions] of versions) {
     if (heldVersions.some((version, i) => i > 0 && version < (heldVersions[i - 1] ?? 0))) {
-      faults.push(`8 configuration: ${daemon} went back: ${heldVersions.join(' ')}`);
+      descriptions.push(`8 configuration: ${daemon} returned to an earlier version: ${heldVersions.join(' ')}`);
     }
   }
   const texts = new Set([...folds.values()].map((fold) => JSON.stringify([fold.version, fold.written])));
   if (texts.size > 1) {
-    faults.push(`8 configuration: daemons differ at the same offset: ${[...texts].join(' / ')}`);
+    descriptions.push(`8 configuration: daemons differ at the same offset: ${[...texts].join(' / ')}`);
   }
   for (const { patchId, kind, version } of submitted) {
     for (const [daemon, fold] of folds) {
       const verdict = fold.verdict(patchId);
       if (kind === 'accepted' && (verdict?.kind !== 'accepted' || verdict.version !== version)) {
-        faults.push(`8 configuration: ${patchId} was told accepted as ${version ?? 0}, and ${daemon} holds ${JSON.stringify(verdict)}`);
+        descriptions.push(
+          `8 configuration: ${patchId} was reported as accepted as version ${version ?? 0}, but ${daemon} has ${JSON.stringify(verdict)}`,
+        );
       }
       if ((kind === 'conflict' || kind === 'invalid') && verdict?.kind === 'accepted') {
-        faults.push(`8 configuration: ${patchId} was told ${kind}, and is in force`);
+        descriptions.push(`8 configuration: ${patchId} was reported as ${kind}, but was accepted`);
       }
     }
   }
-  return faults;
+  return descriptions;
 }
