--- a/packages/core/src/procedures/lifecycle.ts
+++ b/packages/core/src/procedures/lifecycle.ts
@@ -63,7 +63,7 @@
  * Stops without interrupting calls: announces that the daemon is leaving, refuses queued calls, waits within limits until no call is in
  * flight and no sender has open offers, then announces that the daemon has left. `cut` is the number of calls still in flight at the limit.
  */
-export function* plannedStop(ctx: StopContext): Procedure<{ cut: number }> {
+export function* gracefulShutdown(ctx: StopContext): Procedure<{ cut: number }> {
   const startedAt = monotonicMs();
   ctx.announceLeaving();
   ctx.closeGate();
--- a/packages/daemon/src/app/daemon.ts
+++ b/packages/daemon/src/app/daemon.ts
@@ -12,7 +12,7 @@
   type Member,
   MemberView,
   monotonicMs,
-  plannedStop,
+  gracefulShutdown,
   RetryLedger,
   runProcedure,
   AcceptedOffers,
@@ -211,7 +211,7 @@
       return { cut: 0 };
     }
     const { cut } = await runProcedure(
-      plannedStop({
+      gracefulShutdown({
         announceLeaving: () => {
           this._stopping = true;
           this.target.stop();
--- a/tests/matrix/checkers.ts
+++ b/tests/matrix/checkers.ts
@@ -25,7 +25,7 @@
     ...notRunIsTrue(journal),
     ...atMostOnce(journal),
     ...closedGateStartsNothing(journal),
-    ...plannedStopsInterruptNothing(journal),
+    ...gracefulShutdownsInterruptNothing(journal),
     ...configurationIsConsistent(journal, folds),
   ];
 }
@@ -86,7 +86,7 @@
     .map(({ host, request }) => `6 closed gate starts nothing: ${host} started ${request} after it closed`);
 }
 
-function plannedStopsInterruptNothing({ stops, runs }: Journal): string[] {
+function gracefulShutdownsInterruptNothing({ stops, runs }: Journal): string[] {
   return stops.flatMap(({ host, cut }) => {
     const interrupted = runs.filter((run) => run.host === host && run.cut);
     return cut > 0 || interrupted.length > 0 ? [`7 planned stop: ${host} cut ${cut + interrupted.length} calls`] : [];
--- a/tests/matrix/matrixDaemon.ts
+++ b/tests/matrix/matrixDaemon.ts
@@ -47,7 +47,7 @@
 /** A daemon of the matrix. */
 export class MatrixDaemon {
   readonly ledger = new RetryLedger();
-  readonly answers = new ResponseStore(kAnswerBytes);
+  readonly responses = new ResponseStore(kAnswerBytes);
   readonly settler = new KeySettler();
   readonly index = new ClaimIndex(kClaims);
   readonly fold = new ConfigFold();
@@ -118,7 +118,7 @@
 
   private _makeServe(journal: Journal): ServeContext {
     const { id, candidates, newId, relay, rootOf } = this.options;
-    const ratio = new RetryTokenBucket(() => 1);
+    const bucket = new RetryTokenBucket(() => 1);
     return {
       daemon: { id, incarnation: this.incarnation, address: id },
       stopping: () => this.stopping,
@@ -129,8 +129,8 @@
       picker: new TargetPicker(id, 'one', seededRandom(1)),
       rootFilter: new RootFilter(() => 'goodput'),
       ledger: this.ledger,
-      retryBucket: () => ratio,
-      responses: this.answers,
+      retryBucket: () => bucket,
+      responses: this.responses,
       settler: this.settler,
       claimShard: () => ({ shard: 0, index: this.index, relay }),
       newId,
--- a/tests/matrix/matrixPeers.ts
+++ b/tests/matrix/matrixPeers.ts
@@ -91,16 +91,16 @@
       reply({ kind: 'unreachable' });
       return;
     }
-    if (holder.answers.get(key)?.kind === 'running' && this._world.time.now < effect.until) {
+    if (holder.responses.get(key)?.kind === 'running' && this._world.time.now < effect.until) {
       this._world.time.after(kWorkMs, () => {
         this.fetchAnswer(effect, reply, undefined);
       });
       return;
     }
-    const found = lookUpResponse(holder.answers, { key, body, claimant }, holder.name);
+    const found = lookUpResponse(holder.responses, { key, body, claimant }, holder.name);
     if (found.kind === 'not_run') {
       const release = { key, shard: 0, claimant: holder.name, address };
-      this._world.run(holder, releaseClaim(release, holder.answers), () => undefined);
+      this._world.run(holder, releaseClaim(release, holder.responses), () => undefined);
     }
     reply(found);
   }
@@ -115,7 +115,7 @@
       }
     };
     if (fault !== 'timeout') {
-      daemon.answers.wait(effect.key, end);
+      daemon.responses.wait(effect.key, end);
     }
     this._world.time.after(effect.until - this._world.time.now, () => {
       end(undefined);
--- a/tests/matrix/scenarios.ts
+++ b/tests/matrix/scenarios.ts
@@ -5,7 +5,7 @@
 
 /** Scenarios of the matrix, which run each procedure of the core alone and concurrently with others. */
 
-import { coldStart, type NamedClass, plannedStop, refreshSnapshot, submitPatch } from '@gentiandrum/core';
+import { coldStart, type NamedClass, gracefulShutdown, refreshSnapshot, submitPatch } from '@gentiandrum/core';
 import { kConfigStream, type PatchRecord } from '@gentiandrum/protocol';
 import { digest } from './matrixLog.js';
 import { MatrixWorld } from './matrixWorld.js';
@@ -77,7 +77,7 @@
     world.journal.closed.set(daemon.options.id, Math.min(world.journal.closed.get(daemon.options.id) ?? Infinity, world.time.now));
   };
   const ctx = { announceLeaving: close, closeGate: close, announceLeft: () => undefined, limitMs: 0 };
-  world.run(daemon, plannedStop(ctx), ({ cut }) => {
+  world.run(daemon, gracefulShutdown(ctx), ({ cut }) => {
     world.journal.stops.push({ host: daemon.options.id, cut });
   });
 }
--- a/tests/membership/acceptedOffers.spec.ts
+++ b/tests/membership/acceptedOffers.spec.ts
@@ -5,7 +5,7 @@
 
 /** Guards against a wrong proof in a daemon's last record, which would let an accepted offer run a second time. */
 
-import { type Effect, type Member, plannedStop, provesNeverAccepted, type Reply, AcceptedOffers } from '@gentiandrum/core';
+import { type Effect, type Member, gracefulShutdown, provesNeverAccepted, type Reply, AcceptedOffers } from '@gentiandrum/core';
 import { describe, it } from '../support/describe.js';
 
 const kDeadline = 1_000;
@@ -105,7 +105,7 @@
     const note = (step: string) => (): void => {
       steps.push(step);
     };
-    const stop = plannedStop({ announceLeaving: note('leaving'), closeGate: note('close'), announceLeft: note('left'), limitMs: 0 });
+    const stop = gracefulShutdown({ announceLeaving: note('leaving'), closeGate: note('close'), announceLeft: note('left'), limitMs: 0 });
     for (let step = stop.next(); step.done !== true; step = stop.next(replyTo(step.value))) {
       steps.push(step.value.type);
     }
