--- a/packages/core/src/procedures/acceptedOffers.ts
+++ b/packages/core/src/procedures/acceptedOffers.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Tracks accepted non-repeatable offers of other daemons until their senders have confirmed the results. A daemon that stops as planned
- * lists them in its last record; a lost offer that is not listed was never accepted, so it may be offered to another target.
+ * Tracks accepted non-repeatable offers of other daemons until their senders have confirmed the results. A daemon that shuts down
+ * gracefully lists them in its last record; a lost offer that is not listed was never accepted, so it may be offered to another target.
  *
  * A connection carries one offer at a time, so the next offer on it confirms the previous result. A sender also confirms all results by
  * reporting that it has no open offers. A closed connection confirms nothing, because the response may have been lost.
--- a/packages/core/src/procedures/effects.ts
+++ b/packages/core/src/procedures/effects.ts
@@ -130,7 +130,7 @@
   appendSnapshot: { params: object; reply: AppendResult };
   /** Queries known daemons and seeds for their configuration and members. */
   queryPeers: { params: object; reply: { answered: number } };
-  /** Appends the local daemon's record to the members stream; `goodbye` marks the last record of a planned stop. */
+  /** Appends the local daemon's record to the members stream; `goodbye` marks the last record of a graceful shutdown. */
   appendMember: { params: { goodbye: boolean }; reply: AppendResult };
   /** Sends a change of the local daemon's record to some daemons at once. */
   notifyPeers: { params: object; reply: undefined };
--- a/packages/core/src/procedures/lifecycle.ts
+++ b/packages/core/src/procedures/lifecycle.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Procedures for the start and the planned stop of a daemon. */
+/** Procedures for the start and the graceful shutdown of a daemon. */
 
 import type { ConfigFold } from '../config/configFold.js';
 import { monotonicMs } from '../util/clock.js';
@@ -41,7 +41,7 @@
   return { source: 'nowhere', version: fold.version };
 }
 
-/** Operations and limits of a planned stop. */
+/** Operations and limits of a graceful shutdown. */
 export interface StopContext {
   /** Sets the target state `leaving` in the local daemon's record and refuses new root requests. */
   announceLeaving: () => void;
--- a/packages/daemon/src/server/main.ts
+++ b/packages/daemon/src/server/main.ts
@@ -49,7 +49,7 @@
 
 async function run(daemon: Daemon): Promise<void> {
   const server = await startServer(daemon).catch((err: unknown) => {
-    daemon.logger.error('start', `Failed to listen on ${daemon.settings.listen}.`, { err: String(err) });
+    daemon.logger.error('start', `Failed to listen on the configured address ${daemon.settings.listen}.`, { err: String(err) });
     process.exit(kExit.failed);
   });
   let signals = 0;
--- a/packages/mesh/src/app/calls/logSuspectEvent.ts
+++ b/packages/mesh/src/app/calls/logSuspectEvent.ts
@@ -27,7 +27,7 @@
       return;
     }
     case 'released':
-      events.warn('quarantine', 'Request fingerprint released from quarantine.', { kind: event.fingerprint });
+      events.warn('quarantine', 'Request fingerprint released.', { kind: event.fingerprint });
       return;
   }
 }
--- a/packages/mesh/src/app/meshDaemon.ts
+++ b/packages/mesh/src/app/meshDaemon.ts
@@ -213,7 +213,7 @@
     }
     this._stopping = true;
     const startedAt = monotonicMs();
-    this._events.info('stop', 'Planned stop started.', { calls: this._calls.inFlight, atGate: this._gate.pending });
+    this._events.info('stop', 'Graceful shutdown started.', { calls: this._calls.inFlight, atGate: this._gate.pending });
     const latest = startedAt + this._settings.stopSeconds * 1_000 - kStopMarginMs;
     // The gate stays open meanwhile, because closing it at once would leave the target idle until callers switch to other daemons.
     await pause(kDrainNoticeMs);
--- a/tests/matrix/checkers.ts
+++ b/tests/matrix/checkers.ts
@@ -89,7 +89,7 @@
 function gracefulShutdownsInterruptNothing({ stops, runs }: Journal): string[] {
   return stops.flatMap(({ host, cut }) => {
     const interrupted = runs.filter((run) => run.host === host && run.cut);
-    return cut > 0 || interrupted.length > 0 ? [`7 planned stop: ${host} cut ${cut + interrupted.length} calls`] : [];
+    return cut > 0 || interrupted.length > 0 ? [`7 graceful shutdown: ${host} cut ${cut + interrupted.length} calls`] : [];
   });
 }
 
--- a/tests/matrix/journal.ts
+++ b/tests/matrix/journal.ts
@@ -43,7 +43,7 @@
   readonly retries = new Map<string, number>();
   /** Time at which each host's gate closed permanently. */
   readonly closed = new Map<string, number>();
-  /** Hosts that completed a planned stop, and the number of calls they interrupted. */
+  /** Hosts that completed a graceful shutdown, and the number of calls they interrupted. */
   readonly stops: { host: string; cut: number }[] = [];
   /** Calls that a gate refused because of overload. */
   readonly shed: { host: string; rank: number; at: number; order: number }[] = [];
--- a/tests/membership/targetLifecycle.spec.ts
+++ b/tests/membership/targetLifecycle.spec.ts
@@ -47,7 +47,7 @@
     t.is(lifecycle.known.state, 'ready');
   });
 
-  it('should apply records of a planned stop and of draining, but not of a ready target', (t) => {
+  it('should apply records of a graceful shutdown and of draining, but not of a ready target', (t) => {
     const killed = new TargetLifecycle('10.0.0.1:80');
     t.false(killed.applyRecord({ ...kRecord, state: 'ready' }));
     t.is(killed.known.state, 'unknown');
