--- a/packages/core/src/procedures/lifecycle.ts
+++ b/packages/core/src/procedures/lifecycle.ts
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Procedures for the start and the planned stop of a daemon. */
+/** Procedures for the start and the graceful shutdown of a daemon. */
 
 import type { ConfigFold } from '../config/configFold.js';
 import { monotonicMs } from '../util/clock.js';
@@ -41,7 +41,7 @@
   return { source: 'nowhere', version: fold.version };
 }
 
-/** Operations and limits of a planned stop. */
+/** Operations and limits of a graceful shutdown. */
 export interface StopContext {
   /** Sets the target state `leaving` in the local daemon's record and refuses new root requests. */
   announceLeaving: () => void;
@@ -63,7 +63,7 @@
  * Stops without interrupting calls: announces that the daemon is leaving, refuses queued calls, waits within limits until no call is in
  * flight and no sender has open offers, then announces that the daemon has left. `cut` is the number of calls still in flight at the limit.
  */
-export function* plannedStop(ctx: StopContext): Procedure<{ cut: number }> {
+export function* gracefulShutdown(ctx: StopContext): Procedure<{ cut: number }> {
   const startedAt = monotonicMs();
   ctx.announceLeaving();
   ctx.closeGate();
